--- a/samphirecleat/durable/_item_bound.py
+++ b/samphirecleat/durable/_item_bound.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from ..crashes import CrashGuard, call_mark
-from ..serving import start_of
+from ..serving import target_start
 from ._item_decisions import ItemName
 from ._item_run import ItemRun
 from ._ports import GenerationError
@@ -33,7 +33,7 @@
             return
         mark = _mark_of(run)
         self._cut[run.name] = (mark, now_s)
-        item_id, start = run.open_item.item.item_id, start_of(run.target)
+        item_id, start = run.open_item.item.item_id, target_start(run.target)
         await self._guard.cut(item_id, mark, start, begun_s, error.detail)
 
     def whole(self, run: ItemRun) -> None:
--- a/samphirecleat/durable/_item_run.py
+++ b/samphirecleat/durable/_item_run.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from ..serving import MIDDLE_PRIORITY, Target
+from ..serving import DEFAULT_PRIORITY, Target
 from ._drafts import Draft
 from ._item_decisions import ItemName
 from ._open_item import OpenItem
@@ -30,7 +30,7 @@
     target: Target
     draft: Draft
     planned_tokens: int
-    priority: int = MIDDLE_PRIORITY
+    priority: int = DEFAULT_PRIORITY
     task: asyncio.Task[None] | None = None
     events: int = 0
     move: bool = False
--- a/samphirecleat/durable/_planner.py
+++ b/samphirecleat/durable/_planner.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping, Sequence, Set
 from typing import Final, NamedTuple
 
-from ..serving import MIDDLE_PRIORITY
+from ..serving import DEFAULT_PRIORITY
 
 # Of what a text is expected to need, this share is planned for: texts grow at the same pace,
 # so the short ones have left before the long ones need their room. An engine that runs out
@@ -49,7 +49,7 @@
     context_tokens: int
     min_version: int
     model: str
-    priority: int = MIDDLE_PRIORITY
+    priority: int = DEFAULT_PRIORITY
 
 
 class EngineView(NamedTuple):
@@ -100,7 +100,7 @@
 
     def rank(item: PendingItem) -> tuple[bool, float]:
         spare_s = item.due_in_s - item.expected_tokens * token_s
-        ranked_s = spare_s + (item.priority - MIDDLE_PRIORITY) * PRIORITY_S
+        ranked_s = spare_s + (item.priority - DEFAULT_PRIORITY) * PRIORITY_S
         return ((item.step_id, item.group) in spare, ranked_s)
 
     return sorted(items, key=rank)
--- a/samphirecleat/platform/_crash_parts.py
+++ b/samphirecleat/platform/_crash_parts.py
@@ -7,7 +7,7 @@
 from ..crashes import CrashGuard, CrashLedger, CrashNews
 from ..durable import CrashRecords, KeyedLog, reading_pause_s
 from ..observe import Observer
-from ..serving import TargetTable, others_beside, registration_of
+from ..serving import TargetTable, registration_state, sibling_targets
 from ..targets import is_listening
 
 
@@ -42,8 +42,8 @@
         ledger,
         news,
         is_listening,
-        lambda start: registration_of(targets, start),
-        lambda start: others_beside(targets, start),
+        lambda start: registration_state(targets, start),
+        lambda start: sibling_targets(targets, start),
         records,
         observer,
     )
--- a/samphirecleat/platform/_documents.py
+++ b/samphirecleat/platform/_documents.py
@@ -51,7 +51,7 @@
                 limits["idleTimeoutMs"] / 1000.0,
             ),
             [_workspace(row) for row in tenants or ()],
-            asks_for_keys=tenants is not None,
+            requires_keys=tenants is not None,
         )
     except (msgspec.MsgspecError, KeyError, TypeError, ValueError, AttributeError) as error:
         raise DocumentFormatError(f"configuration: {error!r}") from error
--- a/samphirecleat/platform/_front.py
+++ b/samphirecleat/platform/_front.py
@@ -11,10 +11,10 @@
 from ..errors import ErrorKind, Ran, RequestError
 from ..observe import Observer
 from ..serving import (
+    ApiKeyAuthenticator,
     Call,
     CallKind,
     Forwarder,
-    Gatekeeper,
     RelayedStream,
     Route,
     RouteTable,
@@ -52,10 +52,10 @@
         forwarder: Forwarder,
         relay: StreamRelay,
         steps: StepAccess,
-        gatekeeper: Gatekeeper,
+        authenticator: ApiKeyAuthenticator,
         observer: Observer,
     ) -> None:
-        """Serve by ``routes`` whom ``gatekeeper`` admits.
+        """Serve by ``routes`` whom ``authenticator`` admits.
 
         ``leaving`` may be set to ask callers to go elsewhere.
         """
@@ -63,7 +63,7 @@
         self._forwarder = forwarder
         self._relay = relay
         self._steps = steps
-        self._gatekeeper = gatekeeper
+        self._authenticator = authenticator
         self._observer = observer
         self._words = observer.log("front")
         self.leaving = False
@@ -166,7 +166,7 @@
             await events.aclose()
 
     def _route(self, host: str, raw_path: str) -> Route:
-        self._routes.ensure_known()
+        self._routes.require_config()
         route = self._routes.find(host, raw_path)
         if route is None:
             raise RequestError(ErrorKind.UNKNOWN_SERVICE, f"no route for {host}{raw_path}")
@@ -181,15 +181,15 @@
     def _workspace(self, request: web.BaseRequest, *, anonymous: bool) -> str:
         """Return the name of a caller's workspace, "" for nobody's."""
         credentials = request.headers.getall(CREDENTIALS, ())
-        return self._gatekeeper.admit(credentials, anonymous=anonymous).name
+        return self._authenticator.authenticate(credentials, anonymous=anonymous).name
 
     def _step_workspace(self, request: web.BaseRequest) -> str:
-        anonymous = self._routes.takes_anonymous_steps(_host_of(request))
+        anonymous = self._routes.allows_anonymous_steps(_host_of(request))
         return self._workspace(request, anonymous=anonymous)
 
     def _caller(self, request: web.BaseRequest, workspace: str) -> str:
         """Return who sends a call: its workspace, or without keys whatever it says of itself."""
-        if self._routes.config.asks_for_keys:
+        if self._routes.config.requires_keys:
             return workspace
         said = (request.headers.getall(name, ()) for name in sorted(IDENTITY_HEADERS))
         return "\n".join(value for values in said for value in values)
@@ -197,7 +197,7 @@
     def _headers(self, request: web.BaseRequest) -> Sequence[tuple[str, str]]:
         """Return a caller's headers, without those that say who it is where keys do that."""
         rows = [(k.decode("latin-1"), v.decode("latin-1")) for k, v in request.raw_headers]
-        if not self._routes.config.asks_for_keys:
+        if not self._routes.config.requires_keys:
             return rows
         return [(name, value) for name, value in rows if name.lower() not in IDENTITY_HEADERS]
 
--- a/samphirecleat/platform/_platform_node.py
+++ b/samphirecleat/platform/_platform_node.py
@@ -27,13 +27,13 @@
 from ..observe import Observer
 from ..peers import HeartbeatCodec
 from ..serving import (
+    ApiKeyAuthenticator,
     Forwarder,
-    Gatekeeper,
     RouteTable,
     StreamRelay,
     TargetRegistry,
     TargetTable,
-    no_meter,
+    discard_usage,
 )
 from ..targets import make_connector
 from ..usage import (
@@ -109,7 +109,7 @@
         self._clock = TrueClock(asyncio.get_running_loop().time, boot_time_s, time.time)
         self._session = aiohttp.ClientSession(connector=make_connector(STORE_SILENT_S))
         self._sessions = TargetSessions(self.observer)
-        self.targets.warm.kept_s = self._sessions.idle_s
+        self.targets.warm.keep_alive_s = self._sessions.idle_s
         self._store = MetadataStore(
             self._session, settings.store_address, self._peer_controls, self.observer, self._rng
         )
@@ -170,7 +170,7 @@
         )
         self._store.move(settings.store_address)
         self._api.move(settings.api_address)
-        self._gatekeeper.rebind(
+        self._authenticator.rebind(
             fails_closed=settings.keys_fail_closed, revocation_s=settings.key_revocation_s
         )
 
@@ -229,7 +229,7 @@
             self.observer,
             self._rng,
         )
-        meter = self._counter.began if self.settings.reports_usage else no_meter
+        meter = self._counter.began if self.settings.reports_usage else discard_usage
         forwarder = Forwarder(
             self.routes, self.targets, exchange, self._rng, meter, self._crashes.guard
         )
@@ -247,7 +247,7 @@
             ),
         )
         relay = StreamRelay(forwarder, self.targets, CallStream(self._sessions))
-        self._gatekeeper = Gatekeeper(
+        self._authenticator = ApiKeyAuthenticator(
             self.routes,
             lambda: self._operator_follower.age_s(),
             fails_closed=self.settings.keys_fail_closed,
@@ -258,7 +258,7 @@
             forwarder,
             relay,
             StepAccess(self.step_log),
-            self._gatekeeper,
+            self._authenticator,
             self.observer,
         )
         parts = DutyParts(
@@ -337,7 +337,7 @@
 
     def _is_ready(self) -> bool:
         caught_up = self._target_follower.caught_up and self._crashes.records.caught_up
-        return self.routes.known and caught_up and not self.board.leaving
+        return self.routes.has_config and caught_up and not self.board.leaving
 
     def _own_row(self) -> Member:
         identity = self.board.identity
--- a/samphirecleat/platform/_side_doors.py
+++ b/samphirecleat/platform/_side_doors.py
@@ -8,7 +8,7 @@
 
 from ..blackboard import Member
 from ..observe import Observer
-from ..serving import offered_members
+from ..serving import advertised_members
 from ._metadata_store import MetadataStore
 from ._peer_texts import PATH_TEXTS, answer_texts
 from ._store_ways import RELAY_PREFIX
@@ -45,7 +45,7 @@
         if not request.raw_path.startswith(PATH_RESOLVE):
             return web.Response(status=404)
         zone = request.query.get("zone", "")
-        offered = offered_members(self._ready_members())
+        offered = advertised_members(self._ready_members())
         members = sorted(offered, key=lambda m: (m.zone != zone, m.node_id))
         if not members:
             return web.Response(status=503)
--- a/samphirecleat/platform/_watches.py
+++ b/samphirecleat/platform/_watches.py
@@ -93,7 +93,7 @@
 
     def refresh(self) -> None:
         """Bring the table up to what the registry says now."""
-        present = self._registry.present()
+        present = self._registry.usable_targets()
         if present != self._table.targets:
             self._log_changes(present)
             self._table.replace(present)
--- a/samphirecleat/serving/__init__.py
+++ b/samphirecleat/serving/__init__.py
@@ -1,16 +1,16 @@
 """Serving callers' calls by routes: types, the tables that a node keeps, the forwarder."""
 
-from ._crash_watch import mark_of, others_beside, registration_of, start_of
-from ._entry_choice import offered_members
-from ._forwarder import Forwarder, UsageMeter, no_meter
-from ._gatekeeper import Gatekeeper
+from ._advertised_members import advertised_members
+from ._authenticator import ApiKeyAuthenticator
+from ._crash_watch import call_digest, registration_state, sibling_targets, target_start
+from ._forwarder import Forwarder, UsageMeter, discard_usage
 from ._registry import TargetRegistry
 from ._route_table import RouteTable
 from ._stream_relay import RelayedStream, StreamBrokenError, StreamRelay
 from ._target_table import TargetTable, services_in_turn
 from ._types import (
+    DEFAULT_PRIORITY,
     EMPTY_CONFIG,
-    MIDDLE_PRIORITY,
     NO_REVISION,
     Call,
     CallChannel,
@@ -35,7 +35,7 @@
 __all__ = [
     "ANONYMOUS",
     "EMPTY_CONFIG",
-    "MIDDLE_PRIORITY",
+    "DEFAULT_PRIORITY",
     "NO_REVISION",
     "Call",
     "CallChannel",
@@ -43,7 +43,7 @@
     "CallerLimits",
     "EngineSpec",
     "Forwarder",
-    "Gatekeeper",
+    "ApiKeyAuthenticator",
     "KeyConflict",
     "KeyTable",
     "RelayedStream",
@@ -66,11 +66,11 @@
     "WeightedService",
     "Workspace",
     "key_mark",
-    "mark_of",
-    "no_meter",
-    "offered_members",
-    "others_beside",
-    "registration_of",
+    "call_digest",
+    "discard_usage",
+    "advertised_members",
+    "sibling_targets",
+    "registration_state",
     "services_in_turn",
-    "start_of",
+    "target_start",
 ]
--- a/samphirecleat/serving/_entry_choice.py
+++ b/samphirecleat/serving/_advertised_members.py
@@ -20,7 +20,7 @@
 OFFERED_SHARE: Final = 0.25
 
 
-def offered_members(members: Sequence[Member]) -> Sequence[Member]:
+def advertised_members(members: Sequence[Member]) -> Sequence[Member]:
     """Return the nodes to offer, spread evenly over the availability zones.
 
     All nodes that know the same members choose the same ones: strong hosts first, then by a
--- a/samphirecleat/serving/_gatekeeper.py
+++ b/samphirecleat/serving/_authenticator.py
@@ -15,7 +15,7 @@
 RETRY_AFTER_S: Final = 0.3
 
 
-class Gatekeeper:
+class ApiKeyAuthenticator:
     """Tells the workspace of each call by the configuration in force.
 
     A key is called wrong only by a node that has just confirmed its configuration. Any other
@@ -46,7 +46,7 @@
         self._fails_closed = fails_closed
         self._revocation_s = revocation_s
 
-    def admit(self, credentials: Sequence[str], *, anonymous: bool) -> Workspace:
+    def authenticate(self, credentials: Sequence[str], *, anonymous: bool) -> Workspace:
         """Return the workspace of a caller by its ``Authorization`` headers.
 
         Where ``anonymous`` calls are allowed, one without a usable key is nobody's.
@@ -54,8 +54,8 @@
         :raises RequestError: UNAUTHENTICATED for a caller without a key in force, NOT_READY when
             this node can't be sure of that.
         """
-        self._routes.ensure_known()
-        if not self._routes.config.asks_for_keys:
+        self._routes.require_config()
+        if not self._routes.config.requires_keys:
             return ANONYMOUS
         fault = "no key: send Authorization: Bearer KEY"
         if credentials:
--- a/samphirecleat/serving/_crash_watch.py
+++ b/samphirecleat/serving/_crash_watch.py
@@ -7,26 +7,26 @@
 from ._types import Call, Target
 
 
-def mark_of(call: Call) -> bytes:
+def call_digest(call: Call) -> bytes:
     """Return what stands for a call, whatever its id."""
     return call_mark(call.method, call.host, call.raw_path, call.caller, call.body)
 
 
-def start_of(target: Target) -> TargetStart:
+def target_start(target: Target) -> TargetStart:
     """Return the start of a target that its registration tells of."""
     return TargetStart(target.instance, target.address, target.started_at_ms)
 
 
-def registration_of(targets: TargetTable, start: TargetStart) -> Registered:
+def registration_state(targets: TargetTable, start: TargetStart) -> Registered:
     """Return what the registrations in use say of one start of a target."""
     target = targets.targets.get(start.instance)
-    if target is None or start_of(target) != start:
+    if target is None or target_start(target) != start:
         return Registered.GONE
     return Registered.DRAINING if target.draining else Registered.READY
 
 
-def others_beside(targets: TargetTable, start: TargetStart) -> Sequence[TargetStart]:
+def sibling_targets(targets: TargetTable, start: TargetStart) -> Sequence[TargetStart]:
     """Return the other targets that serve the same as one that is registered."""
     target = targets.targets.get(start.instance)
     serving = targets.serving(target.service) if target is not None else ()
-    return [start_of(other) for other in serving if other.instance != start.instance]
+    return [target_start(other) for other in serving if other.instance != start.instance]
--- a/samphirecleat/serving/_forwarder.py
+++ b/samphirecleat/serving/_forwarder.py
@@ -16,7 +16,7 @@
 from ..crashes import CrashGuard, Standing, barred_error, is_barred
 from ..errors import ErrorKind, Ran, RequestError
 from ._attempt_trail import AttemptTrail
-from ._crash_watch import mark_of, start_of
+from ._crash_watch import call_digest, target_start
 from ._route_table import RouteTable
 from ._target_table import TargetTable, services_in_turn
 from ._types import Call, CallChannel, CallKind, Route, Target, TargetAnswer, TargetFault
@@ -41,7 +41,7 @@
 """Takes the workspace of a call that began to run at a target, and when, on the loop's clock."""
 
 
-def no_meter(workspace: str, began_at_s: float) -> None:
+def discard_usage(workspace: str, began_at_s: float) -> None:
     """Count nothing."""
     del workspace, began_at_s
 
@@ -61,7 +61,7 @@
         targets: TargetTable,
         channel: CallChannel,
         rng: random.Random,
-        meter: UsageMeter = no_meter,
+        meter: UsageMeter = discard_usage,
         guard: CrashGuard | None = None,
     ) -> None:
         """Choose among ``targets`` and send through ``channel``.
@@ -103,20 +103,20 @@
         """Return what may be done with a call by what is known of targets that ended under it."""
         if self._guard is None or not self._guard.suspects_any:
             return Standing.CLEAR
-        return self._guard.standing(call.request_id, mark_of(call))
+        return self._guard.standing(call.request_id, call_digest(call))
 
     def answered(self, call: Call) -> None:
         """Note that a target answered a call, so that it does not end its targets."""
         if self._guard is None:
             return
         if self._guard.suspects_any or len(call.body) <= REMEMBERED_BYTES:
-            self._guard.answered(call.request_id, mark_of(call))
+            self._guard.answered(call.request_id, call_digest(call))
 
     async def cut(self, call: Call, target: Target, begun_s: float, fault: TargetFault) -> None:
         """Take a fault of a run, which may have ended with its target."""
         if self._guard is not None and fault.cut:
             await self._guard.cut(
-                call.request_id, mark_of(call), start_of(target), begun_s, fault.detail
+                call.request_id, call_digest(call), target_start(target), begun_s, fault.detail
             )
 
     def place(self, target: Target, *, suspect: bool) -> Callable[[], None]:
--- a/samphirecleat/serving/_registry.py
+++ b/samphirecleat/serving/_registry.py
@@ -42,7 +42,7 @@
         for target in registered.values():
             self.put(target)
 
-    def present(self) -> Mapping[str, Target]:
+    def usable_targets(self) -> Mapping[str, Target]:
         """Return the targets to use now."""
         if self._vanished and boot_time_s() - self._store_away_at_s() > LAPSE_S:
             self._vanished.clear()
--- a/samphirecleat/serving/_route_table.py
+++ b/samphirecleat/serving/_route_table.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from ..errors import ErrorKind, RequestError
-from ._types import EMPTY_CONFIG, MIDDLE_PRIORITY, CallKind, Route, RoutingConfig
+from ._types import DEFAULT_PRIORITY, EMPTY_CONFIG, CallKind, Route, RoutingConfig
 from ._workspaces import KeyTable
 
 # What a caller is told to wait at a node that has just started.
@@ -24,16 +24,16 @@
         self._priorities: dict[str, int] = {}
 
     @property
-    def known(self) -> bool:
+    def has_config(self) -> bool:
         """Whether any configuration has come; until then no route can be denied."""
         return self.config.revision >= 0
 
-    def ensure_known(self) -> None:
+    def require_config(self) -> None:
         """Return if any configuration has come.
 
         :raises RequestError: NOT_READY before that: nothing can be said of a route or a key.
         """
-        if not self.known:
+        if not self.has_config:
             detail = "no configuration yet"
             raise RequestError(ErrorKind.NOT_READY, detail, retry_after_s=RETRY_AFTER_S)
 
@@ -66,9 +66,9 @@
 
     def priority_of(self, workspace: str) -> int:
         """Return the rank of a workspace's work, the middle one for a workspace without."""
-        return self._priorities.get(workspace, MIDDLE_PRIORITY)
+        return self._priorities.get(workspace, DEFAULT_PRIORITY)
 
-    def takes_anonymous_steps(self, host: str) -> bool:
+    def allows_anonymous_steps(self, host: str) -> bool:
         """Whether steps may be submitted to a host without a key."""
         routes = self._by_host.get(host.lower(), ())
         return any(route.allows_anonymous and route.kind in _STEP_KINDS for route in routes)
--- a/samphirecleat/serving/_types.py
+++ b/samphirecleat/serving/_types.py
@@ -107,7 +107,7 @@
 class RoutingConfig(NamedTuple):
     """A whole configuration; a higher ``revision`` replaces a lower one.
 
-    Callers bring a key of a workspace only where it ``asks_for_keys``: a configuration with an
+    Callers bring a key of a workspace only where it ``requires_keys``: a configuration with an
     empty list of workspaces serves nobody but the callers of anonymous routes.
     """
 
@@ -116,7 +116,7 @@
     services: Mapping[str, ServiceSpec]
     limits: CallerLimits
     workspaces: Sequence[Workspace] = ()
-    asks_for_keys: bool = False
+    requires_keys: bool = False
 
 
 class Target(NamedTuple):
@@ -238,6 +238,6 @@
 
 
 # Of a call or an item that neither a workspace nor a route ranks; 0 comes first, 9 last.
-MIDDLE_PRIORITY: Final = 5
+DEFAULT_PRIORITY: Final = 5
 NO_REVISION: Final = -1
 EMPTY_CONFIG: Final = RoutingConfig(NO_REVISION, (), {}, CallerLimits())
--- a/samphirecleat/serving/_warm_connections.py
+++ b/samphirecleat/serving/_warm_connections.py
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         """Start without connections."""
-        self.kept_s: Callable[[str], float] = _first_kept_s
+        self.keep_alive_s: Callable[[str], float] = _first_kept_s
         self._idle_since_s: dict[str, list[float]] = {}
 
     def taken(self, target: Target) -> None:
@@ -43,7 +43,7 @@
         if not idle:
             return False
         # The newest is the last one; the older ones in front of it are closed first.
-        kept_s = self.kept_s(target.service)
+        kept_s = self.keep_alive_s(target.service)
         if now_s - idle[-1] > kept_s:
             idle.clear()
             return False
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -93,7 +93,7 @@
         "tenants": [{"name": "w", "apiKeys": ["k1", "k2"], "priority": 1}, {"name": "v"}],
     }
     config = decode_config(as_json(document))
-    assert config.asks_for_keys
+    assert config.requires_keys
     assert config.workspaces == [Workspace("w", ["k1", "k2"], 1), Workspace("v", [])]
     assert config.routes[0].allows_anonymous
     assert config.services["e"].scaling == ScalingSpec(1, 15, 4.0, {"za": 1.0, "zb": 0.8}, 0.15)
@@ -117,8 +117,8 @@
 
 
 def test_an_empty_list_of_workspaces_is_not_the_lack_of_one() -> None:
-    assert decode_config(as_json({**CONFIG, "tenants": []})).asks_for_keys
-    assert not decode_config(as_json(CONFIG)).asks_for_keys
+    assert decode_config(as_json({**CONFIG, "tenants": []})).requires_keys
+    assert not decode_config(as_json(CONFIG)).requires_keys
 
 
 def test_a_configuration_is_read_into_the_products_types() -> None:
--- a/tests/serving/test_gatekeeper.py
+++ b/tests/serving/test_authenticator.py
@@ -6,8 +6,8 @@
 
 from samphirecleat.errors import ErrorKind, RequestError
 from samphirecleat.serving import (
+    ApiKeyAuthenticator,
     CallerLimits,
-    Gatekeeper,
     KeyTable,
     RouteTable,
     RoutingConfig,
@@ -25,21 +25,21 @@
     return RoutingConfig(revision, (), {}, CallerLimits(), workspaces, asks)
 
 
-def gatekeeper(
+def authenticator(
     in_force: RoutingConfig | None, age_s: float = FRESH_S, *, fails_closed: bool = False
-) -> Gatekeeper:
+) -> ApiKeyAuthenticator:
     routes = RouteTable()
     if in_force is not None:
         routes.put(in_force)
-    return Gatekeeper(routes, lambda: age_s, fails_closed=fails_closed, revocation_s=5.0)
+    return ApiKeyAuthenticator(routes, lambda: age_s, fails_closed=fails_closed, revocation_s=5.0)
 
 
 def outcome(
-    gate: Gatekeeper, credentials: Sequence[str], *, anonymous: bool = False
+    gate: ApiKeyAuthenticator, credentials: Sequence[str], *, anonymous: bool = False
 ) -> str | ErrorKind:
     """Return the workspace's name, or the kind of the refusal."""
     try:
-        return gate.admit(credentials, anonymous=anonymous).name
+        return gate.authenticate(credentials, anonymous=anonymous).name
     except RequestError as error:
         return error.kind
 
@@ -69,17 +69,17 @@
     credentials: list[str], anonymous: bool, want: str | ErrorKind
 ) -> None:
     """Guards against a caller that is served as another workspace, or without a key in force."""
-    gate = gatekeeper(config(1, Workspace("shop", [KEY]), Workspace("club", ["other"])))
+    gate = authenticator(config(1, Workspace("shop", [KEY]), Workspace("club", ["other"])))
     assert outcome(gate, credentials, anonymous=anonymous) == want
 
 
 def test_a_node_without_a_configuration_calls_no_key_wrong() -> None:
     """Guards against a node that has just started and denies a proper caller for good."""
-    assert outcome(gatekeeper(None), [f"Bearer {KEY}"]) is ErrorKind.NOT_READY
+    assert outcome(authenticator(None), [f"Bearer {KEY}"]) is ErrorKind.NOT_READY
 
 
 def test_where_no_keys_are_asked_for_nobody_needs_one() -> None:
-    assert outcome(gatekeeper(config(1, asks=False)), ["Bearer any"]) == ""
+    assert outcome(authenticator(config(1, asks=False)), ["Bearer any"]) == ""
 
 
 @pytest.mark.parametrize(
@@ -97,14 +97,14 @@
     age_s: float, fails_closed: bool, key: str, want: str | ErrorKind
 ) -> None:
     """Guards against a new key that is denied by an old node, and a taken one that outlives it."""
-    gate = gatekeeper(config(1, Workspace("shop", [KEY])), age_s, fails_closed=fails_closed)
+    gate = authenticator(config(1, Workspace("shop", [KEY])), age_s, fails_closed=fails_closed)
     assert outcome(gate, [f"Bearer {key}"]) == want
 
 
 def test_a_key_ends_with_the_configuration_that_lacks_it() -> None:
     """Guards against a key that stays in force at a node that knows it is taken away."""
     routes = RouteTable()
-    gate = Gatekeeper(routes, lambda: FRESH_S, fails_closed=False, revocation_s=5.0)
+    gate = ApiKeyAuthenticator(routes, lambda: FRESH_S, fails_closed=False, revocation_s=5.0)
     routes.put(config(1, Workspace("shop", [KEY, "second"])))
     assert outcome(gate, [f"Bearer {KEY}"]) == "shop"
     routes.put(config(2, Workspace("shop", ["second"])))
@@ -130,8 +130,8 @@
 
 def test_a_refusal_tells_no_key() -> None:
     """Guards against keys in logs, which hold the detail of each refusal."""
-    gate = gatekeeper(config(1, Workspace("shop", ["other"])))
+    gate = authenticator(config(1, Workspace("shop", ["other"])))
     with pytest.raises(RequestError) as refusal:
-        gate.admit([f"Bearer {KEY}"], anonymous=False)
+        gate.authenticate([f"Bearer {KEY}"], anonymous=False)
     assert key_mark(KEY) in refusal.value.detail
     assert KEY[:4] not in refusal.value.detail
--- a/tests/serving/test_crash_watch.py
+++ b/tests/serving/test_crash_watch.py
@@ -19,10 +19,10 @@
     TargetFault,
     TargetTable,
     WeightedService,
-    mark_of,
-    others_beside,
-    registration_of,
-    start_of,
+    call_digest,
+    registration_state,
+    sibling_targets,
+    target_start,
 )
 
 from ..crashes.guards import make_guard
@@ -64,8 +64,8 @@
         self.guard = make_guard(
             self.ledger,
             self._listens,
-            lambda start: registration_of(self.table, start),
-            lambda start: others_beside(self.table, start),
+            lambda start: registration_state(self.table, start),
+            lambda start: sibling_targets(self.table, start),
         )
         self.forwarder = Forwarder(
             RouteTable(), self.table, self.channel, random.Random(1), guard=self.guard
@@ -85,7 +85,7 @@
         now_s = asyncio.get_running_loop().time()
         for target in targets:
             end = RunEnd(target, now_s - 0.2, now_s - 0.1, "other")
-            self.ledger.note_end(mark_of(self.call(raw_path)), end, now_s)
+            self.ledger.note_end(call_digest(self.call(raw_path)), end, now_s)
 
 
 def play(body: Callable[[Stage], Awaitable[None]]) -> None:
@@ -154,7 +154,7 @@
     async def body(stage: Stage) -> None:
         stage.suspect("/x", "gone", "gone too")
         assert await stage.forward("/x") == OK
-        assert not stage.ledger.suspects[mark_of(stage.call("/x"))].ends
+        assert not stage.ledger.suspects[call_digest(stage.call("/x"))].ends
 
     play(body)
 
@@ -164,10 +164,10 @@
     target = Target("t", "svc", "t:1", "z", 4, False, started_at_ms=5)
     other = target._replace(instance="o", address="o:1")
     table.replace({"t": target, "o": other, "p": target._replace(instance="p", service="else")})
-    assert registration_of(table, start_of(target)) is Registered.READY
-    assert others_beside(table, start_of(target)) == [start_of(other)]
+    assert registration_state(table, target_start(target)) is Registered.READY
+    assert sibling_targets(table, target_start(target)) == [target_start(other)]
     table.replace({"t": target._replace(draining=True)})
-    assert registration_of(table, start_of(target)) is Registered.DRAINING
+    assert registration_state(table, target_start(target)) is Registered.DRAINING
     table.replace({"t": target._replace(started_at_ms=6)})
-    assert registration_of(table, start_of(target)) is Registered.GONE
-    assert others_beside(table, start_of(target._replace(instance="unknown"))) == []
+    assert registration_state(table, target_start(target)) is Registered.GONE
+    assert sibling_targets(table, target_start(target._replace(instance="unknown"))) == []
--- a/tests/serving/test_tables.py
+++ b/tests/serving/test_tables.py
@@ -141,11 +141,11 @@
     registry = TargetRegistry(lambda: 99.0)
     registry.replace({"a": target("a"), "bb": target("bb", draining=True)})
     registry.replace({})
-    assert set(registry.present()) == {"a"}
+    assert set(registry.usable_targets()) == {"a"}
     now[0] = 101.5
-    assert set(registry.present()) == set()
+    assert set(registry.usable_targets()) == set()
     registry.put(target("a"))
-    assert set(registry.present()) == {"a"}
+    assert set(registry.usable_targets()) == {"a"}
 
 
 def test_a_vanished_target_is_not_used_beside_the_one_at_its_address() -> None:
@@ -153,14 +153,14 @@
     registry.put(target("a", address="127.0.0.1:9"))
     registry.remove("a")
     registry.put(target("b", address="127.0.0.1:9"))
-    assert set(registry.present()) == {"b"}
+    assert set(registry.usable_targets()) == {"b"}
 
 
 def test_while_the_store_is_well_a_vanished_target_is_gone_at_once() -> None:
     registry = TargetRegistry(lambda: -1e12)
     registry.put(target("a"))
     registry.remove("a")
-    assert registry.present() == {}
+    assert registry.usable_targets() == {}
 
 
 def test_few_calls_stay_with_targets_that_have_a_connection() -> None:
@@ -198,7 +198,7 @@
     targets = TargetTable("z")
     far = target("f", zone="y")
     targets.replace({t.instance: t for t in (far, target("nn"))})
-    targets.warm.kept_s = lambda _service: 5.0
+    targets.warm.keep_alive_s = lambda _service: 5.0
     targets.warm.returned(far, 0.0)
     assert targets.choose(["svc"], [], 4.0) == far
     assert targets.choose(["svc"], [], 6.0) != far
