--- a/samphirecleat/bench/_blame.py
+++ b/samphirecleat/bench/_blame.py
@@ -12,7 +12,7 @@
 from heapq import heappop, heappush
 from typing import Final, NamedTuple
 
-from ..crashes import FREE_ENDS, CrashLedger, RunEnd, Standing
+from ..crashes import MIN_ENDS_TO_REFUSE, CrashLedger, CrashVerdict, RunEnd
 from ._harness import BenchResult, BenchRow, average_runs
 
 DEFAULT_SEED: Final = 31
@@ -47,13 +47,13 @@
 
 
 def _by_ledger(ledger: CrashLedger, mark: bytes, now_s: float) -> bool:
-    return ledger.standing(mark, now_s) is Standing.REFUSED
+    return ledger.verdict(mark, now_s) is CrashVerdict.REFUSED
 
 
 def _by_count(ledger: CrashLedger, mark: bytes, now_s: float) -> bool:
     del now_s
     suspect = ledger.suspects.get(mark)
-    return suspect is not None and len(suspect.ends) >= FREE_ENDS
+    return suspect is not None and len(suspect.ends) >= MIN_ENDS_TO_REFUSE
 
 
 def _by_count_later(ledger: CrashLedger, mark: bytes, now_s: float) -> bool:
@@ -61,7 +61,7 @@
     suspect = ledger.suspects.get(mark)
     if suspect is None or now_s - suspect.last_end_s() < KEEP_HOUSE_S:
         return False
-    return len(suspect.ends) >= FREE_ENDS
+    return len(suspect.ends) >= MIN_ENDS_TO_REFUSE
 
 
 RULES: Final = (
@@ -167,7 +167,8 @@
             self._refusals += 1
             return True
         held = (
-            self._rule.refuses is _by_ledger and self._ledger.standing(mark, now_s) is Standing.HELD
+            self._rule.refuses is _by_ledger
+            and self._ledger.verdict(mark, now_s) is CrashVerdict.HELD
         )
         self._held += held
         return held
--- a/samphirecleat/bench/_crashes.py
+++ b/samphirecleat/bench/_crashes.py
@@ -14,8 +14,8 @@
 from typing import Final, NamedTuple
 
 from ..blackboard import Member
-from ..crashes import FREE_ENDS, CrashLedger, CrashNews, RunEnd, Standing
-from ..crashes._call_mark import MARK_BYTES
+from ..crashes import MIN_ENDS_TO_REFUSE, CrashGossip, CrashLedger, CrashVerdict, RunEnd
+from ..crashes._request_digest import DIGEST_BYTES
 from ..durable import reading_pause_s
 from ..durable._crash_records import LEAST_ENDS
 from ..peers import HeartbeatCodec, MemberRow, Message, MessageKind
@@ -52,7 +52,7 @@
 class _Node:
     def __init__(self, count: int) -> None:
         self.ledger = CrashLedger()
-        self.news = CrashNews(self.ledger, lambda: count)
+        self.news = CrashGossip(self.ledger, lambda: count)
 
 
 class Way(NamedTuple):
@@ -90,7 +90,7 @@
         self._plain_bytes = len(self._codec.pack(_EMPTY))
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._number = 0
-        self._marks = [bytes([number]) * MARK_BYTES for number in range(requests)]
+        self._marks = [bytes([number]) * DIGEST_BYTES for number in range(requests)]
         self._ends: dict[bytes, list[float]] = {mark: [] for mark in self._marks}
         self._known_s = math.inf
         self._next_look_s = 0.0
@@ -111,9 +111,9 @@
             if at_s > LENGTH_S:
                 break
             act(at_s)
-            if at_s >= self._next_look_s and len(self._ends[self._marks[0]]) >= FREE_ENDS:
+            if at_s >= self._next_look_s and len(self._ends[self._marks[0]]) >= MIN_ENDS_TO_REFUSE:
                 self._look_who_knows(at_s)
-        third_s = self._ends[self._marks[0]][FREE_ENDS - 1]
+        third_s = self._ends[self._marks[0]][MIN_ENDS_TO_REFUSE - 1]
         peak = max(self._peer_bytes.values(), default=0) / self._count
         return {
             "all_know_s": min(LENGTH_S, self._known_s - third_s),
@@ -147,9 +147,9 @@
         """Have a node run the request at one target, and then at the next."""
 
         def begin(now_s: float) -> None:
-            if attempts == 0 or self._nodes[number].ledger.standing(mark, now_s) in (
-                Standing.HELD,
-                Standing.REFUSED,
+            if attempts == 0 or self._nodes[number].ledger.verdict(mark, now_s) in (
+                CrashVerdict.HELD,
+                CrashVerdict.REFUSED,
             ):
                 if after is not None:
                     after(now_s)
@@ -169,7 +169,7 @@
     def _see(self, mark: bytes, number: int, end: RunEnd) -> None:
         node = self._nodes[number]
         node.ledger.note_end(mark, end, end.ended_s)
-        node.news.tell_end(mark, end.target, end.ended_s)
+        node.news.announce_end(mark, end.target, end.ended_s)
         ends = list(node.ledger.suspects[mark].ends.values())
         if 0 < self._way.log_from <= len(ends):
             self._store_calls += 1
@@ -228,7 +228,9 @@
         """Note the moment at which the last node holds the third end."""
         self._next_look_s = now_s + LOOK_S
         known = [node.ledger.suspects.get(self._marks[0]) for node in self._nodes]
-        if all(suspect is not None and len(suspect.ends) >= FREE_ENDS for suspect in known):
+        if all(
+            suspect is not None and len(suspect.ends) >= MIN_ENDS_TO_REFUSE for suspect in known
+        ):
             self._known_s = now_s
             self._next_look_s = math.inf
         else:
@@ -237,9 +239,9 @@
 
 def _sent_on(ends_s: Sequence[float]) -> int:
     """Return how many ends of a request began when all nodes could know of its third."""
-    if len(ends_s) < FREE_ENDS:
+    if len(ends_s) < MIN_ENDS_TO_REFUSE:
         return 0
-    known_s = ends_s[FREE_ENDS - 1] + TOUCH_S
+    known_s = ends_s[MIN_ENDS_TO_REFUSE - 1] + TOUCH_S
     return sum(at_s - RUN_S > known_s for at_s in ends_s)
 
 
--- a/samphirecleat/controllers/admission/_crash_watch.py
+++ b/samphirecleat/controllers/admission/_crash_watch.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 
 from ...blackboard import Blackboard, TargetView
-from ...crashes import Registered, TargetStart, call_mark
+from ...crashes import RegistrationState, TargetStart, request_digest
 from ...requests import Call
 
 
@@ -14,7 +14,7 @@
     Nothing in a call of this interface says who its caller is.
     """
     body = json.dumps(call.body, sort_keys=True, separators=(",", ":")).encode()
-    return call_mark(call.method, call.service, "", "", body)
+    return request_digest(call.method, call.service, "", "", body)
 
 
 def start_of(target: TargetView) -> TargetStart:
@@ -22,15 +22,15 @@
     return TargetStart(target.instance or target.address, target.address, 0)
 
 
-def registration_of(board: Blackboard, start: TargetStart) -> Registered:
+def registration_of(board: Blackboard, start: TargetStart) -> RegistrationState:
     """Return what is known of one start of a target.
 
     One that gives no answer may have ended; that is for its address to say.
     """
     target = board.targets.get(start.address)
     if target is None or start_of(target) != start:
-        return Registered.GONE
-    return Registered.DRAINING if target.leaving else Registered.READY
+        return RegistrationState.GONE
+    return RegistrationState.DRAINING if target.leaving else RegistrationState.READY
 
 
 def others_beside(board: Blackboard, start: TargetStart) -> Sequence[TargetStart]:
--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -135,7 +135,7 @@
             try:
                 await self._attempt(service, target, call, answer)
                 if (guard := self._guard_of(call)) is not None:
-                    guard.answered(call.request_id, mark_of(call))
+                    guard.record_answer(call.request_id, mark_of(call))
                 return
             except TargetError as error:
                 await self._note_cut(call, target, begun_s, error)
@@ -172,9 +172,9 @@
             is being found out.
         """
         guard = self._guard_of(call)
-        if guard is None or not guard.suspects_any:
+        if guard is None or not guard.has_suspects:
             return
-        standing = guard.standing(call.request_id, mark_of(call))
+        standing = guard.verdict(call.request_id, mark_of(call))
         if is_barred(standing):
             raise _weaken(barred_error(standing), attempts.may_have_run)
 
@@ -185,7 +185,7 @@
         failure, guard = error.failure, self._guard_of(call)
         if guard is not None and isinstance(failure, Lost) and failure.cut:
             mark, start = mark_of(call), start_of(target)
-            await guard.cut(call.request_id, mark, start, begun_s, failure.detail)
+            await guard.record_cut(call.request_id, mark, start, begun_s, failure.detail)
 
     def _choose(self, service: Service, call: Call, tried: Sequence[str]) -> TargetView | None:
         now_s = asyncio.get_running_loop().time()
--- a/samphirecleat/crashes/__init__.py
+++ b/samphirecleat/crashes/__init__.py
@@ -1,27 +1,33 @@
 """Calls that end the targets that run them: evidence of all nodes, and a bound on retries."""
 
 from ._barred import barred_error, is_barred
-from ._call_mark import call_mark
-from ._guard import CrashGuard, EndRecorder, Registered, TargetStart, UnkeptEnds
+from ._gossip import CrashGossip
+from ._guard import (
+    CrashGuard,
+    EvidenceRecorder,
+    NullEvidenceRecorder,
+    RegistrationState,
+    TargetStart,
+)
 from ._ledger import CrashLedger
-from ._news import CrashNews
-from ._suspect import FREE_ENDS, MOST_ENDS, SETTLE_S, RunEnd, Standing, Suspect
+from ._request_digest import request_digest
+from ._suspect import MIN_ENDS_TO_REFUSE, MOST_ENDS, SETTLE_S, CrashVerdict, RunEnd, Suspect
 
 __all__ = [
-    "FREE_ENDS",
+    "MIN_ENDS_TO_REFUSE",
     "MOST_ENDS",
     "SETTLE_S",
     "CrashGuard",
     "CrashLedger",
-    "CrashNews",
-    "EndRecorder",
-    "Registered",
+    "CrashGossip",
+    "EvidenceRecorder",
+    "RegistrationState",
     "RunEnd",
-    "Standing",
+    "CrashVerdict",
     "Suspect",
     "TargetStart",
-    "UnkeptEnds",
+    "NullEvidenceRecorder",
     "barred_error",
-    "call_mark",
+    "request_digest",
     "is_barred",
 ]
--- a/samphirecleat/crashes/_barred.py
+++ b/samphirecleat/crashes/_barred.py
@@ -3,23 +3,23 @@
 from typing import Final
 
 from ..errors import ErrorKind, RequestError
-from ._suspect import SETTLE_S, Standing
+from ._suspect import SETTLE_S, CrashVerdict
 
 # What the caller of a held request is told to wait: until what other nodes saw has arrived.
 HELD_RETRY_S: Final = SETTLE_S
 
 
-def is_barred(standing: Standing) -> bool:
+def is_barred(verdict: CrashVerdict) -> bool:
     """Whether a request is not sent for now, or for good."""
-    return standing in (Standing.HELD, Standing.REFUSED)
+    return verdict in (CrashVerdict.HELD, CrashVerdict.REFUSED)
 
 
-def barred_error(standing: Standing, tried: str = "") -> RequestError:
+def barred_error(verdict: CrashVerdict, tried: str = "") -> RequestError:
     """Return the error of a request that is barred; ``tried`` says what came of earlier attempts.
 
     One that is held has not run under its id, unless an attempt before may have.
     """
-    if standing is Standing.REFUSED:
+    if verdict is CrashVerdict.REFUSED:
         told = f": {tried}" if tried else ""
         detail = f"targets end when they run this request; change it{told}"
         return RequestError(ErrorKind.CRASHES_TARGETS, detail)
--- a/samphirecleat/crashes/_guard.py
+++ b/samphirecleat/crashes/_guard.py
@@ -7,9 +7,9 @@
 
 from ..observe import Observer
 from ._barred import is_barred
+from ._gossip import NO_CALL, CrashGossip
 from ._ledger import CrashLedger
-from ._news import NO_CALL, CrashNews
-from ._suspect import RunEnd, Standing
+from ._suspect import CrashVerdict, RunEnd
 
 # A target that still listens right after it cut a call may have started again at once. Its
 # registration says so within this time: three of its heartbeats, and the way to this node.
@@ -34,7 +34,7 @@
         return f"{self.instance}@{self.started_at_ms}"
 
 
-class Registered(Enum):
+class RegistrationState(Enum):
     """What a registration says of one start of a target."""
 
     READY = "ready"
@@ -42,23 +42,23 @@
     GONE = "gone"
 
 
-class EndRecorder(Protocol):
+class EvidenceRecorder(Protocol):
     """Writes what is known of a call where it lasts."""
 
-    def record(self, mark: bytes, *, own: bool) -> None:
+    def record(self, digest: bytes, *, own: bool) -> None:
         """Write soon; a node whose ``own`` evidence it is goes before the others."""
         ...
 
 
-class UnkeptEnds:
+class NullEvidenceRecorder:
     """Writes nothing: what is known lives as long as any node that knows it."""
 
-    def record(self, mark: bytes, *, own: bool) -> None:
+    def record(self, digest: bytes, *, own: bool) -> None:
         """Leave the call to the nodes' memory."""
 
 
 class _Doubt(NamedTuple):
-    mark: bytes
+    digest: bytes
     start: TargetStart
     begun_s: float
     cut_s: float
@@ -75,11 +75,11 @@
         self,
         node_id: str,
         ledger: CrashLedger,
-        news: CrashNews,
+        news: CrashGossip,
         listens: Callable[[str], Awaitable[bool]],
-        registered: Callable[[TargetStart], Registered],
+        registered: Callable[[TargetStart], RegistrationState],
         others: Callable[[TargetStart], Sequence[TargetStart]],
-        recorder: EndRecorder,
+        recorder: EvidenceRecorder,
         observer: Observer,
     ) -> None:
         """Ask ``listens`` whether anything accepts connections at an address.
@@ -100,49 +100,49 @@
         self._recorder = recorder
 
     @property
-    def suspects_any(self) -> bool:
-        """Whether any call is suspected; if none is, marks need not be made."""
+    def has_suspects(self) -> bool:
+        """Whether any call is suspected; if none is, digests need not be made."""
         return bool(self._ledger.suspects)
 
-    def standing(self, request_id: str, mark: bytes) -> Standing:
+    def verdict(self, request_id: str, digest: bytes) -> CrashVerdict:
         """Return what may be done with a call now; what bars it is logged."""
         now_s = asyncio.get_running_loop().time()
-        standing = self._ledger.standing(mark, now_s)
-        if is_barred(standing):
-            self._observer.counters[f"crash_calls_{standing.value}"] += 1
+        verdict = self._ledger.verdict(digest, now_s)
+        if is_barred(verdict):
+            self._observer.counters[f"crash_calls_{verdict.value}"] += 1
             self._words.warning(
                 "request=%s call=%s %s evidence=%s",
                 request_id,
-                mark.hex(),
-                standing.value,
-                self.evidence(mark, now_s),
+                digest.hex(),
+                verdict.value,
+                self.evidence(digest, now_s),
             )
-            if standing is Standing.REFUSED:
-                self._recorder.record(mark, own=False)
-        return standing
+            if verdict is CrashVerdict.REFUSED:
+                self._recorder.record(digest, own=False)
+        return verdict
 
-    def bars(self, mark: bytes) -> bool:
+    def bars(self, digest: bytes) -> bool:
         """Whether a call is held or refused now; nothing is logged or counted."""
         now_s = asyncio.get_running_loop().time()
-        return is_barred(self._ledger.standing(mark, now_s))
+        return is_barred(self._ledger.verdict(digest, now_s))
 
-    def answered(self, request_id: str, mark: bytes) -> None:
+    def record_answer(self, request_id: str, digest: bytes) -> None:
         """Note a target's answer to a call, which may be suspected."""
         now_s = asyncio.get_running_loop().time()
-        self._ledger.remember_answer(mark, now_s)
-        suspect = self._ledger.suspects.get(mark)
+        self._ledger.remember_answer(digest, now_s)
+        suspect = self._ledger.suspects.get(digest)
         if suspect is None or not suspect.ends:
             return
         ends = len(suspect.ends)
-        if self._ledger.note_answer(mark, now_s):
+        if self._ledger.note_answer(digest, now_s):
             self._words.info(
-                "request=%s call=%s answered cleared_ends=%d", request_id, mark.hex(), ends
+                "request=%s call=%s answered cleared_ends=%d", request_id, digest.hex(), ends
             )
-            self._news.tell(mark)
-            self._recorder.record(mark, own=True)
+            self._news.announce(digest)
+            self._recorder.record(digest, own=True)
 
-    async def cut(
-        self, request_id: str, mark: bytes, start: TargetStart, begun_s: float, detail: str
+    async def record_cut(
+        self, request_id: str, digest: bytes, start: TargetStart, begun_s: float, detail: str
     ) -> None:
         """Take a run that its target's end of the connection cut off before its answer.
 
@@ -150,13 +150,13 @@
         """
         cut_s = asyncio.get_running_loop().time()
         registered = self._registered(start)
-        listens = registered is Registered.READY and await self._look(start, cut_s)
-        counts = registered is Registered.READY and not listens
+        listens = registered is RegistrationState.READY and await self._look(start, cut_s)
+        counts = registered is RegistrationState.READY and not listens
         self._words.warning(
             "request=%s call=%s target=%s cut after=%.3f s registered=%s listens=%s counts=%s "
             "detail=%s",
             request_id,
-            mark.hex(),
+            digest.hex(),
             start.name,
             cut_s - begun_s,
             registered.value,
@@ -164,11 +164,11 @@
             counts,
             detail,
         )
-        doubt = _Doubt(mark, start, begun_s, cut_s)
+        doubt = _Doubt(digest, start, begun_s, cut_s)
         if counts:
             self._count(doubt)
-            if self._ledger.awaits_verdict(mark):
-                await self._look_at_others(mark, start)
+            if self._ledger.awaits_verdict(digest):
+                await self._look_at_others(digest, start)
         elif listens:
             self._doubts.append(doubt)
             del self._doubts[:-MOST_DOUBTS]
@@ -186,36 +186,38 @@
         doubts, self._doubts = self._doubts, []
         for doubt in doubts:
             match self._registered(doubt.start):
-                case Registered.GONE:
+                case RegistrationState.GONE:
                     self._words.info(
                         "call=%s target=%s ended: its registration is gone after=%.3f s",
-                        doubt.mark.hex(),
+                        doubt.digest.hex(),
                         doubt.start.name,
                         now_s - doubt.cut_s,
                     )
                     self._count(doubt)
-                case Registered.READY if now_s - doubt.cut_s <= DOUBT_KEPT_S:
+                case RegistrationState.READY if now_s - doubt.cut_s <= DOUBT_KEPT_S:
                     self._doubts.append(doubt)
         self._looks = {
             start: look for start, look in self._looks.items() if now_s - look[0] <= SAME_LOOK_S
         }
-        for mark in self._ledger.decide(now_s):
+        for digest in self._ledger.decide(now_s):
             self._observer.counters["crash_calls_barred"] += 1
-            self._words.error("call=%s barred evidence=%s", mark.hex(), self.evidence(mark, now_s))
-            ends = self._ledger.suspects[mark].ends.values()
-            self._recorder.record(mark, own=any(end.node == self._node_id for end in ends))
-        for mark in self._ledger.forget(now_s):
-            self._recorder.record(mark, own=False)
+            self._words.error(
+                "call=%s barred evidence=%s", digest.hex(), self.evidence(digest, now_s)
+            )
+            ends = self._ledger.suspects[digest].ends.values()
+            self._recorder.record(digest, own=any(end.node == self._node_id for end in ends))
+        for digest in self._ledger.forget(now_s):
+            self._recorder.record(digest, own=False)
 
     def _tell_newcomers(self) -> None:
-        for mark, suspect in self._ledger.suspects.items():
+        for digest, suspect in self._ledger.suspects.items():
             if suspect.refused:
                 for target in suspect.ends:
-                    self._news.tell(mark, target)
+                    self._news.announce(digest, target)
 
-    def evidence(self, mark: bytes, now_s: float) -> str:
+    def evidence(self, digest: bytes, now_s: float) -> str:
         """Return each counted end: its target, the node that saw it, and how old it is."""
-        suspect = self._ledger.suspects.get(mark)
+        suspect = self._ledger.suspects.get(digest)
         if suspect is None:
             return "none"
         ends = sorted(suspect.ends.values(), key=lambda end: end.ended_s)
@@ -225,13 +227,13 @@
         now_s = asyncio.get_running_loop().time()
         name = doubt.start.name
         end = RunEnd(name, doubt.begun_s, doubt.cut_s, self._node_id)
-        if not self._ledger.note_end(doubt.mark, end, now_s):
+        if not self._ledger.note_end(doubt.digest, end, now_s):
             return
         self._observer.counters["crash_ends_seen"] += 1
-        self._news.tell_end(doubt.mark, name, now_s)
-        self._recorder.record(doubt.mark, own=True)
+        self._news.announce_end(doubt.digest, name, now_s)
+        self._recorder.record(doubt.digest, own=True)
 
-    async def _look_at_others(self, mark: bytes, start: TargetStart) -> None:
+    async def _look_at_others(self, digest: bytes, start: TargetStart) -> None:
         """Find out whether targets ended that did not run a call, as when all of them go."""
         ended = self._ledger.ended_targets
         sample = [other for other in self._others(start) if other.name not in ended]
@@ -241,9 +243,9 @@
         gone = [other.name for other, is_up in zip(sample, listening, strict=True) if not is_up]
         for name in gone:
             if self._ledger.note_ended_target(name, now_s, now_s):
-                self._news.tell(NO_CALL, name)
+                self._news.announce(NO_CALL, name)
         self._words.info(
-            "call=%s others looked_at=%d ended=%s", mark.hex(), len(sample), ",".join(gone)
+            "call=%s others looked_at=%d ended=%s", digest.hex(), len(sample), ",".join(gone)
         )
 
     async def _look(self, start: TargetStart, now_s: float) -> bool:
--- a/samphirecleat/crashes/_ledger.py
+++ b/samphirecleat/crashes/_ledger.py
@@ -14,8 +14,8 @@
 
 from ._suspect import (
     SETTLE_S,
+    CrashVerdict,
     RunEnd,
-    Standing,
     Suspect,
     ends_its_targets,
     may_end_its_targets,
@@ -40,7 +40,7 @@
 
 
 class CrashLedger:
-    """Suspects by the mark of their call."""
+    """Suspects by the digest of their call."""
 
     def __init__(self) -> None:
         """Start with nothing known."""
@@ -49,13 +49,13 @@
         self._answered: OrderedDict[bytes, float] = OrderedDict()
         self._undecided: set[bytes] = set()
 
-    def note_end(self, mark: bytes, end: RunEnd, now_s: float, *, fresh: bool = True) -> bool:
+    def note_end(self, digest: bytes, end: RunEnd, now_s: float, *, fresh: bool = True) -> bool:
         """Take a run that ended with its target; False if it is known or changes nothing.
 
         An end that is not ``fresh`` is from before this process and proves nothing by itself.
         """
         self.note_ended_target(end.target, end.ended_s, now_s)
-        suspect = self._suspect(mark)
+        suspect = self._suspect(digest)
         if end.target in suspect.ends or end.begun_s <= suspect.answered_s:
             return False
         if len(suspect.ends) >= MOST_ENDS_KEPT:
@@ -64,7 +64,7 @@
         suspect.seen_at_s = max(suspect.seen_at_s, now_s)
         suspect.fresh = suspect.fresh or fresh
         if may_end_its_targets(suspect):
-            self._undecided.add(mark)
+            self._undecided.add(digest)
         return True
 
     def note_ended_target(self, target: str, at_s: float, now_s: float) -> bool:
@@ -76,31 +76,31 @@
             self.ended_targets.popitem(last=False)
         return True
 
-    def remember_answer(self, mark: bytes, answered_s: float) -> None:
+    def remember_answer(self, digest: bytes, answered_s: float) -> None:
         """Keep for a while that a call was answered, whether or not it is suspected."""
-        self._answered[mark] = answered_s
-        self._answered.move_to_end(mark)
+        self._answered[digest] = answered_s
+        self._answered.move_to_end(digest)
         if len(self._answered) > MOST_ANSWERED:
             self._answered.popitem(last=False)
 
-    def recall_answer(self, mark: bytes, now_s: float) -> bool:
+    def recall_answer(self, digest: bytes, now_s: float) -> bool:
         """Bring what is remembered of a call's answers to bear on it; False if that is no news."""
-        answered_s = self._answered.get(mark)
+        answered_s = self._answered.get(digest)
         if answered_s is None or now_s - answered_s > ANSWERED_KEPT_S:
             return False
-        suspect = self._suspect(mark)
+        suspect = self._suspect(digest)
         if answered_s <= suspect.answered_s:
             return False
-        self.note_answer(mark, answered_s)
+        self.note_answer(digest, answered_s)
         return True
 
-    def note_answer(self, mark: bytes, answered_s: float) -> bool:
+    def note_answer(self, digest: bytes, answered_s: float) -> bool:
         """Note that a target answered a call: what ended before it did not end by this call.
 
         False if that clears nothing. It is kept for a while, since ends that it clears may be
         heard of later.
         """
-        suspect = self._suspect(mark)
+        suspect = self._suspect(digest)
         if answered_s <= suspect.answered_s:
             return False
         suspect.answered_s = answered_s
@@ -111,36 +111,36 @@
             suspect.refused = False
         return cleared
 
-    def note_refused(self, mark: bytes, now_s: float) -> bool:
+    def note_refused(self, digest: bytes, now_s: float) -> bool:
         """Take another node's word that a call is refused; False if that is known."""
-        suspect = self._suspect(mark)
+        suspect = self._suspect(digest)
         suspect.seen_at_s = now_s
         known, suspect.refused = suspect.refused, True
         return not known
 
-    def drop(self, mark: bytes) -> None:
+    def drop(self, digest: bytes) -> None:
         """Forget a call."""
-        self.suspects.pop(mark, None)
+        self.suspects.pop(digest, None)
 
-    def standing(self, mark: bytes, now_s: float) -> Standing:
+    def verdict(self, digest: bytes, now_s: float) -> CrashVerdict:
         """Return what may be done with a call now."""
-        suspect = self.suspects.get(mark)
+        suspect = self.suspects.get(digest)
         if suspect is None:
-            return Standing.CLEAR
+            return CrashVerdict.CLEAR
         if suspect.refused:
             suspect.seen_at_s = now_s
-            return Standing.REFUSED
+            return CrashVerdict.REFUSED
         if not suspect.ends:
-            return Standing.CLEAR
+            return CrashVerdict.CLEAR
         if not may_end_its_targets(suspect):
-            return Standing.SUSPECT
+            return CrashVerdict.SUSPECT
         if self._settles(suspect, now_s):
-            return Standing.HELD
-        return Standing.REFUSED if self._refuse_if_guilty(suspect) else Standing.SUSPECT
+            return CrashVerdict.HELD
+        return CrashVerdict.REFUSED if self._refuse_if_guilty(suspect) else CrashVerdict.SUSPECT
 
-    def awaits_verdict(self, mark: bytes) -> bool:
+    def awaits_verdict(self, digest: bytes) -> bool:
         """Whether a call has the shape of one that ends its targets, and is not refused yet."""
-        suspect = self.suspects.get(mark)
+        suspect = self.suspects.get(digest)
         return suspect is not None and not suspect.refused and may_end_its_targets(suspect)
 
     def decide(self, now_s: float) -> Sequence[bytes]:
@@ -148,23 +148,25 @@
 
         One that stays in doubt is looked at again when it is sent, or when more is heard of it.
         """
-        due = [mark for mark in self._undecided if self._is_due(mark, now_s)][:DECIDED_AT_ONCE]
+        due = [digest for digest in self._undecided if self._is_due(digest, now_s)][
+            :DECIDED_AT_ONCE
+        ]
         self._undecided.difference_update(due)
         return [
-            mark
-            for mark in due
-            if self.awaits_verdict(mark) and self._refuse_if_guilty(self.suspects[mark])
+            digest
+            for digest in due
+            if self.awaits_verdict(digest) and self._refuse_if_guilty(self.suspects[digest])
         ]
 
-    def _is_due(self, mark: bytes, now_s: float) -> bool:
-        suspect = self.suspects.get(mark)
+    def _is_due(self, digest: bytes, now_s: float) -> bool:
+        suspect = self.suspects.get(digest)
         return suspect is None or not self._settles(suspect, now_s)
 
     def forget(self, now_s: float) -> Sequence[bytes]:
         """Forget what is old; return the calls that were dropped."""
-        gone = [mark for mark, suspect in self.suspects.items() if _is_over(suspect, now_s)]
-        for mark in gone:
-            del self.suspects[mark]
+        gone = [digest for digest, suspect in self.suspects.items() if _is_over(suspect, now_s)]
+        for digest in gone:
+            del self.suspects[digest]
         while self.ended_targets:
             target, at_s = next(iter(self.ended_targets.items()))
             if now_s - at_s <= ENDED_TARGETS_KEPT_S:
@@ -187,12 +189,12 @@
             for target, at_s in self.ended_targets.items()
         )
 
-    def _suspect(self, mark: bytes) -> Suspect:
-        suspect = self.suspects.get(mark)
+    def _suspect(self, digest: bytes) -> Suspect:
+        suspect = self.suspects.get(digest)
         if suspect is None:
             if len(self.suspects) >= MOST_SUSPECTS:
                 self._make_room()
-            suspect = self.suspects[mark] = Suspect()
+            suspect = self.suspects[digest] = Suspect()
         return suspect
 
     def _make_room(self) -> None:
@@ -200,8 +202,8 @@
         ranked = sorted(
             self.suspects, key=lambda m: (self.suspects[m].refused, len(self.suspects[m].ends))
         )
-        for mark in ranked[:DROPPED_AT_ONCE]:
-            del self.suspects[mark]
+        for digest in ranked[:DROPPED_AT_ONCE]:
+            del self.suspects[digest]
 
 
 def _is_over(suspect: Suspect, now_s: float) -> bool:
--- a/samphirecleat/crashes/_call_mark.py
+++ b/samphirecleat/crashes/_request_digest.py
@@ -4,16 +4,16 @@
 from collections.abc import Iterable
 from typing import Final
 
-MARK_BYTES: Final = 12
+DIGEST_BYTES: Final = 12
 
 
-def call_mark(method: str, host: str, raw_path: str, caller: str, body: bytes) -> bytes:
+def request_digest(method: str, host: str, raw_path: str, caller: str, body: bytes) -> bytes:
     """Return the same digest for every sending of one request, another for any other.
 
     Its method, host, path with query, caller and body count; its id and its headers do not.
     ``caller`` keeps a request apart from the same one of somebody else.
     """
-    digest = hashlib.blake2b(digest_size=MARK_BYTES)
+    digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in _parts(method.upper(), host.partition(":")[0].lower(), raw_path, caller):
         digest.update(part)
     digest.update(body)
--- a/samphirecleat/crashes/_suspect.py
+++ b/samphirecleat/crashes/_suspect.py
@@ -7,7 +7,7 @@
 from typing import Final, NamedTuple
 
 # A call that ends its targets may end so many; what follows are retries.
-FREE_ENDS: Final = 3
+MIN_ENDS_TO_REFUSE: Final = 3
 # So many, of which so many after the first burst, refuse a call whatever else went on. Two of the
 # three retries that the bound allows are used then; the third may be under way at another node.
 MOST_ENDS: Final = 5
@@ -31,7 +31,7 @@
     node: str
 
 
-class Standing(Enum):
+class CrashVerdict(Enum):
     """What may be done with a call.
 
     A SUSPECT is sent to one target at a time. One that is HELD is not sent while what other nodes
@@ -69,7 +69,7 @@
     Targets that end together for another reason take a popular call down at several of them at
     once, but only a call that ends its targets ends the next one too, in turn.
     """
-    return suspect.fresh and len(suspect.ends) >= FREE_ENDS and _rounds(suspect.ends) > 1
+    return suspect.fresh and len(suspect.ends) >= MIN_ENDS_TO_REFUSE and _rounds(suspect.ends) > 1
 
 
 def ends_its_targets(
--- a/samphirecleat/durable/_crash_records.py
+++ b/samphirecleat/durable/_crash_records.py
@@ -80,14 +80,14 @@
             group.create_task(self._follower.run())
             group.create_task(self._write_on())
 
-    def record(self, mark: bytes, *, own: bool) -> None:
+    def record(self, digest: bytes, *, own: bool) -> None:
         """Write soon what is known of a call, unless another node does meanwhile."""
-        if not self._is_news(mark):
+        if not self._is_news(digest):
             return
         longest_s = WAIT_PER_NODE_S * self._node_count()
         wait_s = 0.0 if own else OTHERS_WAIT_S + self._rng.uniform(0.0, longest_s)
         due_s = asyncio.get_running_loop().time() + wait_s
-        self._due_s[mark] = min(due_s, self._due_s.get(mark, math.inf))
+        self._due_s[digest] = min(due_s, self._due_s.get(digest, math.inf))
         self._came.set()
 
     def _is_news(self, mark: bytes) -> bool:
--- a/samphirecleat/durable/_item_bound.py
+++ b/samphirecleat/durable/_item_bound.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection
 from typing import Final
 
-from ..crashes import CrashGuard, call_mark
+from ..crashes import CrashGuard, request_digest
 from ..serving import target_start
 from ._item_decisions import ItemName
 from ._item_run import ItemRun
@@ -34,12 +34,12 @@
         mark = _mark_of(run)
         self._cut[run.name] = (mark, now_s)
         item_id, start = run.open_item.item.item_id, target_start(run.target)
-        await self._guard.cut(item_id, mark, start, begun_s, error.detail)
+        await self._guard.record_cut(item_id, mark, start, begun_s, error.detail)
 
     def whole(self, run: ItemRun) -> None:
         """Note that an engine made an item's whole text."""
         if self._guard is not None and self._cut.pop(run.name, None) is not None:
-            self._guard.answered(run.open_item.item.item_id, _mark_of(run))
+            self._guard.record_answer(run.open_item.item.item_id, _mark_of(run))
 
     def rests(self, name: ItemName, now_s: float) -> bool:
         """Whether an item waits since engines ended under it."""
@@ -58,4 +58,4 @@
     """Return what stands for an item; unlike a caller's call, it keeps its id."""
     spec, item = run.open_item.step.spec, run.open_item.item
     whose = f"{spec.workspace}/{item.item_id}"
-    return call_mark("POST", spec.host, item.raw_path, whose, item.body)
+    return request_digest("POST", spec.host, item.raw_path, whose, item.body)
--- a/samphirecleat/node.py
+++ b/samphirecleat/node.py
@@ -19,7 +19,7 @@
 from .controllers.steps import StepRegistry, StepRunner
 from .controllers.targets import TargetWatch
 from .controllers.weights import LeaseKeeper, WeightCoordinator
-from .crashes import CrashGuard, CrashLedger, CrashNews, UnkeptEnds
+from .crashes import CrashGossip, CrashGuard, CrashLedger, NullEvidenceRecorder
 from .entry import CallerEntry, OperatorEntry, TrainerEntry, build_app, build_node_report
 from .observe import Observer
 from .peers import HeartbeatCodec, PeerClient, PeerServer
@@ -214,7 +214,7 @@
     def _build_crash_guard(self) -> None:
         board = self.board
         ledger = CrashLedger()
-        self._crash_news = CrashNews(ledger, lambda: len(board.members))
+        self._crash_news = CrashGossip(ledger, lambda: len(board.members))
         self.crash_guard = CrashGuard(
             self.settings.node_id,
             ledger,
@@ -222,7 +222,7 @@
             is_listening,
             lambda start: registration_of(board, start),
             lambda start: others_beside(board, start),
-            UnkeptEnds(),
+            NullEvidenceRecorder(),
             self.observer,
         )
 
--- a/samphirecleat/platform/_crash_parts.py
+++ b/samphirecleat/platform/_crash_parts.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from ..blackboard import Blackboard
-from ..crashes import CrashGuard, CrashLedger, CrashNews
+from ..crashes import CrashGossip, CrashGuard, CrashLedger
 from ..durable import CrashRecords, KeyedLog, reading_pause_s
 from ..observe import Observer
 from ..serving import TargetTable, registration_state, sibling_targets
@@ -15,7 +15,7 @@
     """What a node sees, what it tells and hears on heartbeats, and what lasts in the log."""
 
     guard: CrashGuard
-    news: CrashNews
+    news: CrashGossip
     records: CrashRecords
 
 
@@ -28,7 +28,7 @@
         return len(board.members)
 
     ledger = CrashLedger()
-    news = CrashNews(ledger, node_count)
+    news = CrashGossip(ledger, node_count)
     records = CrashRecords(
         log,
         ledger,
--- a/samphirecleat/serving/_crash_watch.py
+++ b/samphirecleat/serving/_crash_watch.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Sequence
 
-from ..crashes import Registered, TargetStart, call_mark
+from ..crashes import RegistrationState, TargetStart, request_digest
 from ._target_table import TargetTable
 from ._types import Call, Target
 
 
 def call_digest(call: Call) -> bytes:
     """Return what stands for a call, whatever its id."""
-    return call_mark(call.method, call.host, call.raw_path, call.caller, call.body)
+    return request_digest(call.method, call.host, call.raw_path, call.caller, call.body)
 
 
 def target_start(target: Target) -> TargetStart:
@@ -17,12 +17,12 @@
     return TargetStart(target.instance, target.address, target.started_at_ms)
 
 
-def registration_state(targets: TargetTable, start: TargetStart) -> Registered:
+def registration_state(targets: TargetTable, start: TargetStart) -> RegistrationState:
     """Return what the registrations in use say of one start of a target."""
     target = targets.targets.get(start.instance)
     if target is None or target_start(target) != start:
-        return Registered.GONE
-    return Registered.DRAINING if target.draining else Registered.READY
+        return RegistrationState.GONE
+    return RegistrationState.DRAINING if target.draining else RegistrationState.READY
 
 
 def sibling_targets(targets: TargetTable, start: TargetStart) -> Sequence[TargetStart]:
--- a/samphirecleat/serving/_forwarder.py
+++ b/samphirecleat/serving/_forwarder.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Sequence
 from typing import Final, NamedTuple
 
-from ..crashes import CrashGuard, Standing, barred_error, is_barred
+from ..crashes import CrashGuard, CrashVerdict, barred_error, is_barred
 from ..errors import ErrorKind, Ran, RequestError
 from ._attempt_trail import AttemptTrail
 from ._crash_watch import call_digest, target_start
@@ -99,23 +99,23 @@
         """Draw one of the route's services by their shares."""
         return services_in_turn(route, self._rng.random())
 
-    def standing(self, call: Call) -> Standing:
+    def verdict(self, call: Call) -> CrashVerdict:
         """Return what may be done with a call by what is known of targets that ended under it."""
-        if self._guard is None or not self._guard.suspects_any:
-            return Standing.CLEAR
-        return self._guard.standing(call.request_id, call_digest(call))
+        if self._guard is None or not self._guard.has_suspects:
+            return CrashVerdict.CLEAR
+        return self._guard.verdict(call.request_id, call_digest(call))
 
     def answered(self, call: Call) -> None:
         """Note that a target answered a call, so that it does not end its targets."""
         if self._guard is None:
             return
-        if self._guard.suspects_any or len(call.body) <= REMEMBERED_BYTES:
-            self._guard.answered(call.request_id, call_digest(call))
+        if self._guard.has_suspects or len(call.body) <= REMEMBERED_BYTES:
+            self._guard.record_answer(call.request_id, call_digest(call))
 
     async def cut(self, call: Call, target: Target, begun_s: float, fault: TargetFault) -> None:
         """Take a fault of a run, which may have ended with its target."""
         if self._guard is not None and fault.cut:
-            await self._guard.cut(
+            await self._guard.record_cut(
                 call.request_id, call_digest(call), target_start(target), begun_s, fault.detail
             )
 
@@ -180,7 +180,7 @@
         self._spoilt: TargetAnswer | None = None
         self._began_at_s = math.inf
         self._repeatable = route.kind is CallKind.IDEMPOTENT
-        self._standing = Standing.CLEAR
+        self._verdict = CrashVerdict.CLEAR
 
     async def result(self) -> TargetAnswer:
         """Return the first usable answer of the attempts; cancels the others."""
@@ -232,8 +232,8 @@
             return False
         if self._ran is not Ran.NO and not self._repeatable:
             return False
-        self._standing = self._forwarder.standing(self._call)
-        if is_barred(self._standing) or (attempts and self._standing is not Standing.CLEAR):
+        self._verdict = self._forwarder.verdict(self._call)
+        if is_barred(self._verdict) or (attempts and self._verdict is not CrashVerdict.CLEAR):
             return False
         target = self._forwarder.pick(self._services, self._tried, now_s)
         if target is None:
@@ -243,7 +243,7 @@
         self._tried.append(target.instance)
         self._runs_used += 1
         self._trail.sent(target.instance, now_s)
-        release = self._forwarder.place(target, suspect=self._standing is not Standing.CLEAR)
+        release = self._forwarder.place(target, suspect=self._verdict is not CrashVerdict.CLEAR)
         attempt = self._forwarder.attempt(self._call, target, self._end_s, release)
         task = asyncio.ensure_future(attempt)
         # One that is cancelled before its first step releases nothing itself.
@@ -281,19 +281,19 @@
         """
         if self._spoilt is not None:
             return self._spoilt
-        if is_barred(self._standing):
-            raise barred(self._standing, self._ran, self._trail.told(now_s))
+        if is_barred(self._verdict):
+            raise barred(self._verdict, self._ran, self._trail.told(now_s))
         raise unanswered(self._ran, self._trail.told(now_s))
 
 
-def barred(standing: Standing, ran: Ran, detail: str) -> RequestError:
+def barred(verdict: CrashVerdict, ran: Ran, detail: str) -> RequestError:
     """Return the error of a call that is not sent since targets ended under it.
 
     ``ran`` is NO only if no target can have run it under this id.
     """
-    if standing is Standing.HELD and ran is not Ran.NO:
+    if verdict is CrashVerdict.HELD and ran is not Ran.NO:
         return unanswered(ran, detail)
-    return barred_error(standing, detail)
+    return barred_error(verdict, detail)
 
 
 def unanswered(ran: Ran, detail: str) -> RequestError:
--- a/samphirecleat/serving/_registry.py
+++ b/samphirecleat/serving/_registry.py
@@ -16,7 +16,7 @@
 
 
 class TargetRegistry:
-    """Registered targets, and vanished ones that may only have lapsed."""
+    """RegistrationState targets, and vanished ones that may only have lapsed."""
 
     def __init__(self, store_away_at_s: Callable[[], float]) -> None:
         """Ask ``store_away_at_s`` when the store last gave no answer, on the boot clock."""
--- a/samphirecleat/serving/_stream_relay.py
+++ b/samphirecleat/serving/_stream_relay.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from typing import Final
 
-from ..crashes import Standing, is_barred
+from ..crashes import CrashVerdict, is_barred
 from ..errors import ErrorKind, Ran, RequestError
 from ._attempt_trail import AttemptTrail
 from ._forwarder import (
@@ -94,7 +94,7 @@
         self._source: AsyncGenerator[_Item, None] | None = None
         self._repeatable = route.resumable
         self._metered = False
-        self._standing = Standing.CLEAR
+        self._verdict = CrashVerdict.CLEAR
         self._begun_s = 0.0
         self._release: Callable[[], None] = _nothing_placed
         self.start = StreamStart(0, (), 0)
@@ -196,8 +196,8 @@
             return False
         if self._ran is not Ran.NO and not self._repeatable:
             return False
-        self._standing = self._relay.forwarder.standing(self._call)
-        if is_barred(self._standing):
+        self._verdict = self._relay.forwarder.verdict(self._call)
+        if is_barred(self._verdict):
             return False
         target = self._relay.forwarder.pick(self._services, self._tried, loop.time())
         if target is None:
@@ -207,7 +207,7 @@
         self._begun_s = loop.time()
         self._target = target
         self._trail.sent(target.instance, loop.time())
-        suspect = self._standing is not Standing.CLEAR
+        suspect = self._verdict is not CrashVerdict.CLEAR
         self._release = self._relay.forwarder.place(target, suspect=suspect)
         self._source = self._relay.channel.stream(
             self._call, target, self._end_s - loop.time(), self._last_event_id
@@ -267,6 +267,6 @@
         """Return the failure that a target gave, or raise our own."""
         if self._spoilt is not None:
             return self._spoilt
-        if is_barred(self._standing):
-            raise barred(self._standing, self._ran, self._told())
+        if is_barred(self._verdict):
+            raise barred(self._verdict, self._ran, self._told())
         raise unanswered(self._ran, self._told())
--- a/tests/controllers/admission/test_crash_watch.py
+++ b/tests/controllers/admission/test_crash_watch.py
@@ -8,7 +8,7 @@
 from samphirecleat.config import ServiceKind
 from samphirecleat.controllers.admission import others_beside, registration_of
 from samphirecleat.controllers.admission._crash_watch import mark_of, start_of
-from samphirecleat.crashes import CrashGuard, CrashLedger, Registered
+from samphirecleat.crashes import CrashGuard, CrashLedger, RegistrationState
 from samphirecleat.errors import ErrorKind, Ran, RequestError
 from samphirecleat.standins import StandInPlainService
 from samphirecleat.targets import is_listening
@@ -22,16 +22,16 @@
 @pytest.mark.parametrize(
     ("now", "registered"),
     [
-        ([SERVER], Registered.READY),
-        ([SERVER._replace(reachable=False)], Registered.READY),
-        ([SERVER._replace(leaving=True)], Registered.DRAINING),
-        ([SERVER._replace(instance="i-2")], Registered.GONE),
-        ([], Registered.GONE),
+        ([SERVER], RegistrationState.READY),
+        ([SERVER._replace(reachable=False)], RegistrationState.READY),
+        ([SERVER._replace(leaving=True)], RegistrationState.DRAINING),
+        ([SERVER._replace(instance="i-2")], RegistrationState.GONE),
+        ([], RegistrationState.GONE),
     ],
     ids=["ready", "gives no answer", "leaves", "another instance", "not listed"],
 )
 def test_what_is_known_of_a_start_of_a_target(
-    now: list[TargetView], registered: Registered
+    now: list[TargetView], registered: RegistrationState
 ) -> None:
     board = Blackboard(Identity("n1", "aa", "z", "", ""))
     board.targets = {view.address: view for view in now}
--- a/tests/crashes/guards.py
+++ b/tests/crashes/guards.py
@@ -3,13 +3,13 @@
 from collections.abc import Awaitable, Callable, Sequence
 
 from samphirecleat.crashes import (
+    CrashGossip,
     CrashGuard,
     CrashLedger,
-    CrashNews,
-    EndRecorder,
-    Registered,
+    EvidenceRecorder,
+    NullEvidenceRecorder,
+    RegistrationState,
     TargetStart,
-    UnkeptEnds,
 )
 from samphirecleat.observe import Observer
 
@@ -19,9 +19,9 @@
     return False
 
 
-def ready(_start: TargetStart) -> Registered:
+def ready(_start: TargetStart) -> RegistrationState:
     """Say that every target is registered for work."""
-    return Registered.READY
+    return RegistrationState.READY
 
 
 def no_others(_start: TargetStart) -> Sequence[TargetStart]:
@@ -32,20 +32,20 @@
 def make_guard(
     ledger: CrashLedger,
     listens: Callable[[str], Awaitable[bool]] = ended,
-    registered: Callable[[TargetStart], Registered] = ready,
+    registered: Callable[[TargetStart], RegistrationState] = ready,
     others: Callable[[TargetStart], Sequence[TargetStart]] = no_others,
     *,
-    news: CrashNews | None = None,
-    recorder: EndRecorder | None = None,
+    news: CrashGossip | None = None,
+    recorder: EvidenceRecorder | None = None,
 ) -> CrashGuard:
     """Return the guard of a node n1, whose targets end with every call that they cut off."""
     return CrashGuard(
         "n1",
         ledger,
-        news or CrashNews(ledger, lambda: 1),
+        news or CrashGossip(ledger, lambda: 1),
         listens,
         registered,
         others,
-        recorder or UnkeptEnds(),
+        recorder or NullEvidenceRecorder(),
         Observer("n1"),
     )
--- a/tests/crashes/test_news.py
+++ b/tests/crashes/test_gossip.py
@@ -1,8 +1,8 @@
 """Evidence on heartbeats: what one node saw reaches the others, in few bytes."""
 
 from samphirecleat.blackboard import Member
-from samphirecleat.crashes import CrashLedger, CrashNews, RunEnd, Standing
-from samphirecleat.crashes._news import MOST_UNTOLD, ROWS_PER_MESSAGE
+from samphirecleat.crashes import CrashGossip, CrashLedger, CrashVerdict, RunEnd
+from samphirecleat.crashes._gossip import MOST_UNTOLD, ROWS_PER_MESSAGE
 from samphirecleat.peers import HeartbeatCodec, MemberRow, Message, MessageKind
 
 CALL = b"\x07" * 12
@@ -15,11 +15,11 @@
 
     def __init__(self, node_count: int = 9) -> None:
         self.ledger = CrashLedger()
-        self.news = CrashNews(self.ledger, lambda: node_count)
+        self.news = CrashGossip(self.ledger, lambda: node_count)
 
-    def see(self, mark: bytes, target: str, begun_s: float, ended_s: float) -> None:
-        if self.ledger.note_end(mark, RunEnd(target, begun_s, ended_s, "n"), ended_s):
-            self.news.tell(mark, target)
+    def see(self, digest: bytes, target: str, begun_s: float, ended_s: float) -> None:
+        if self.ledger.note_end(digest, RunEnd(target, begun_s, ended_s, "n"), ended_s):
+            self.news.announce(digest, target)
 
 
 def passed_on(message: Message) -> Message:
@@ -32,7 +32,7 @@
     for number, node in enumerate(seers):
         node.see(CALL, f"t{number}", number * 1.0, number + 0.1)
         fourth.news.unload(passed_on(node.news.load(EMPTY, 3.0)), 3.0)
-    assert fourth.ledger.standing(CALL, 9.0) is Standing.REFUSED
+    assert fourth.ledger.verdict(CALL, 9.0) is CrashVerdict.REFUSED
     evidence = fourth.ledger.suspects[CALL].ends["t0"]
     assert (evidence.node, round(evidence.ended_s, 2)) == ("n", 0.1)
 
@@ -42,10 +42,10 @@
     for node in (one, other):
         node.see(CALL, "t", 0.0, 0.1)
     assert one.ledger.note_answer(CALL, 1.0)
-    one.news.tell(CALL)
+    one.news.announce(CALL)
     for _ in range(2):
         other.news.unload(passed_on(one.news.load(EMPTY, 2.0)), 2.0)
-    assert other.ledger.standing(CALL, 2.0) is Standing.CLEAR
+    assert other.ledger.verdict(CALL, 2.0) is CrashVerdict.CLEAR
 
 
 def test_news_is_passed_on_a_bounded_number_of_times() -> None:
--- a/tests/crashes/test_guard.py
+++ b/tests/crashes/test_guard.py
@@ -7,16 +7,16 @@
 import pytest
 
 from samphirecleat.crashes import (
+    CrashGossip,
     CrashLedger,
-    CrashNews,
-    Registered,
-    Standing,
+    CrashVerdict,
+    RegistrationState,
     TargetStart,
 )
 from samphirecleat.crashes import _guard as guard_module
 
 from .guards import make_guard
-from .test_news import EMPTY
+from .test_gossip import EMPTY
 
 CALL = b"\x01" * 12
 
@@ -27,8 +27,8 @@
     def __init__(self) -> None:
         self.recorded: list[tuple[bytes, bool]] = []
 
-    def record(self, mark: bytes, *, own: bool) -> None:
-        self.recorded.append((mark, own))
+    def record(self, digest: bytes, *, own: bool) -> None:
+        self.recorded.append((digest, own))
 
 
 class World:
@@ -36,16 +36,16 @@
 
     def __init__(self) -> None:
         self.listening: set[str] = set()
-        self.registered: dict[str, Registered] = {}
+        self.registered: dict[str, RegistrationState] = {}
         self.looks: list[str] = []
         self.others: list[TargetStart] = []
         self.ledger = CrashLedger()
         self.recorder = Recorder()
-        self.news = CrashNews(self.ledger, lambda: 3)
+        self.news = CrashGossip(self.ledger, lambda: 3)
         self.guard = make_guard(
             self.ledger,
             self._listens,
-            lambda start: self.registered.get(start.instance, Registered.READY),
+            lambda start: self.registered.get(start.instance, RegistrationState.READY),
             lambda start: [o for o in self.others if o != start],
             news=self.news,
             recorder=self.recorder,
@@ -56,10 +56,10 @@
         await asyncio.sleep(0)
         return address in self.listening
 
-    async def cut(self, name: str, mark: bytes = CALL) -> None:
+    async def cut(self, name: str, digest: bytes = CALL) -> None:
         start = TargetStart(name, f"{name}:1", 5)
         now_s = asyncio.get_running_loop().time()
-        await self.guard.cut("r", mark, start, now_s - 0.001, "reset")
+        await self.guard.record_cut("r", digest, start, now_s - 0.001, "reset")
 
     @property
     def ends(self) -> set[str]:
@@ -77,15 +77,15 @@
 @pytest.mark.parametrize(
     ("listens", "registered", "ends"),
     [
-        (False, Registered.READY, {"t@5"}),
-        (True, Registered.READY, set()),
-        (False, Registered.DRAINING, set()),
-        (False, Registered.GONE, set()),
+        (False, RegistrationState.READY, {"t@5"}),
+        (True, RegistrationState.READY, set()),
+        (False, RegistrationState.DRAINING, set()),
+        (False, RegistrationState.GONE, set()),
     ],
     ids=["crashed", "only the connection", "left as it said", "left without a word"],
 )
 def test_a_cut_counts_only_if_the_target_ended_unplanned(
-    listens: bool, registered: Registered, ends: set[str]
+    listens: bool, registered: RegistrationState, ends: set[str]
 ) -> None:
     """Links, faulty targets and releases cut connections too; a call is not to blame for them."""
 
@@ -101,10 +101,14 @@
 
 @pytest.mark.parametrize(
     ("after", "ends"),
-    [(Registered.GONE, {"t@5"}), (Registered.DRAINING, set()), (Registered.READY, set())],
+    [
+        (RegistrationState.GONE, {"t@5"}),
+        (RegistrationState.DRAINING, set()),
+        (RegistrationState.READY, set()),
+    ],
 )
 def test_a_target_that_listens_again_at_once_is_judged_by_its_registration(
-    monkeypatch: pytest.MonkeyPatch, after: Registered, ends: set[str]
+    monkeypatch: pytest.MonkeyPatch, after: RegistrationState, ends: set[str]
 ) -> None:
     """A supervisor starts a crashed target again before anybody can look."""
     monkeypatch.setattr(guard_module, "DOUBT_KEPT_S", 0.0)
@@ -115,7 +119,7 @@
         world.registered["t"] = after
         world.guard.review([])
         assert world.ends == ends
-        world.registered["t"] = Registered.GONE
+        world.registered["t"] = RegistrationState.GONE
         world.guard.review([])
         assert world.ends == ends
 
@@ -133,23 +137,23 @@
 
 def test_what_bars_a_call_is_logged_with_its_evidence(caplog: pytest.LogCaptureFixture) -> None:
     async def body(world: World) -> None:
-        assert world.guard.standing("r", CALL) is Standing.CLEAR
+        assert world.guard.verdict("r", CALL) is CrashVerdict.CLEAR
         for name in ("a", "b", "c"):
             await world.cut(name)
             await asyncio.sleep(0.002)
         with caplog.at_level(logging.WARNING):
-            assert world.guard.standing("again", CALL) is Standing.HELD
+            assert world.guard.verdict("again", CALL) is CrashVerdict.HELD
         assert "request=again" in caplog.text
         assert all(f"{name}@5/n1/0.0s" in caplog.text for name in ("a", "b", "c"))
-        world.guard.answered("again", CALL)
-        assert world.guard.standing("again", CALL) is Standing.CLEAR
+        world.guard.record_answer("again", CALL)
+        assert world.guard.verdict("again", CALL) is CrashVerdict.CLEAR
 
     play(body)
 
 
-@pytest.mark.parametrize(("others_listen", "standing"), [(True, "refused"), (False, "suspect")])
+@pytest.mark.parametrize(("others_listen", "verdict"), [(True, "refused"), (False, "suspect")])
 def test_other_targets_are_looked_at_before_a_call_is_blamed(
-    others_listen: bool, standing: str
+    others_listen: bool, verdict: str
 ) -> None:
     """A zone goes, and nothing ran at some of its targets whose end anybody would have seen."""
 
@@ -161,7 +165,7 @@
             await asyncio.sleep(0.002)
         assert len([look for look in world.looks if look.startswith("o")]) == 3
         now_s = asyncio.get_running_loop().time()
-        assert world.ledger.standing(CALL, now_s + 1.1).value == standing
+        assert world.ledger.verdict(CALL, now_s + 1.1).value == verdict
 
     play(body)
 
@@ -180,7 +184,7 @@
             await asyncio.sleep(0.002)
         world.others = []
         assert (
-            world.ledger.standing(CALL, asyncio.get_running_loop().time() + 1.1).value == "refused"
+            world.ledger.verdict(CALL, asyncio.get_running_loop().time() + 1.1).value == "refused"
         )
         while world.news.load(EMPTY, 0.0).crashes:
             pass
--- a/tests/crashes/test_call_mark.py
+++ b/tests/crashes/test_request_digest.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from samphirecleat.crashes import call_mark
+from samphirecleat.crashes import request_digest
 
 BASE = ("POST", "h.example", "/plain/1?x=1", "w", b"body")
 
@@ -25,9 +25,9 @@
     other: tuple[str, str, str, str, bytes],
 ) -> None:
     """Nobody can make the request of another caller be refused."""
-    assert call_mark(*other) != call_mark(*BASE)
+    assert request_digest(*other) != request_digest(*BASE)
 
 
 def test_a_host_is_the_same_with_its_port_and_in_any_case() -> None:
     method, _host, *rest = BASE
-    assert call_mark(method, "H.example:80", *rest) == call_mark(*BASE)  # type: ignore[arg-type]
+    assert request_digest(method, "H.example:80", *rest) == request_digest(*BASE)  # type: ignore[arg-type]
--- a/tests/durable/test_crash_records.py
+++ b/tests/durable/test_crash_records.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from samphirecleat.crashes import CrashLedger, RunEnd, Standing
+from samphirecleat.crashes import CrashLedger, CrashVerdict, RunEnd
 from samphirecleat.durable import CrashRecords
 from samphirecleat.durable._crash_records import CRASH_TOPIC, OTHERS_WAIT_S
 from samphirecleat.observe import Observer
@@ -36,8 +36,8 @@
             if self.ledger.note_end(CALL, end, now_s):
                 self.records.record(CALL, own=True)
 
-    def standing(self) -> Standing:
-        return self.ledger.standing(CALL, asyncio.get_running_loop().time())
+    def standing(self) -> CrashVerdict:
+        return self.ledger.verdict(CALL, asyncio.get_running_loop().time())
 
     async def stop(self) -> None:
         self.task.cancel()
@@ -68,14 +68,14 @@
 
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         fleet[0].end_runs("a", "b", "c")
-        assert fleet[0].standing() is Standing.REFUSED
+        assert fleet[0].standing() is CrashVerdict.REFUSED
         fleet[0].records.record(CALL, own=True)
-        await until(lambda: fleet[1].standing() is Standing.REFUSED)
+        await until(lambda: fleet[1].standing() is CrashVerdict.REFUSED)
         for node in fleet:
             await node.stop()
         fleet[:] = [Node(log, 7)]
         await until(lambda: fleet[0].records.caught_up)
-        assert fleet[0].standing() is Standing.REFUSED
+        assert fleet[0].standing() is CrashVerdict.REFUSED
 
     play(body)
 
@@ -87,9 +87,9 @@
         await fleet[1].stop()
         fleet[1] = Node(log, 8)
         await until(lambda: fleet[1].records.caught_up)
-        assert fleet[1].standing() is Standing.SUSPECT
+        assert fleet[1].standing() is CrashVerdict.SUSPECT
         fleet[1].end_runs("a", "b", "c")
-        assert fleet[1].standing() is Standing.REFUSED
+        assert fleet[1].standing() is CrashVerdict.REFUSED
 
     play(body)
 
--- a/tests/durable/test_runner.py
+++ b/tests/durable/test_runner.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from samphirecleat.crashes import FREE_ENDS, CrashLedger
+from samphirecleat.crashes import MIN_ENDS_TO_REFUSE, CrashLedger
 from samphirecleat.durable import GenerationEnd
 from samphirecleat.durable._item_bound import BARRED_REST_S
 
@@ -311,7 +311,11 @@
         await stage.listed(3)
         await asyncio.sleep(2.5)
         rests = (loop.time() - began_s) / BARRED_REST_S
-        assert FREE_ENDS <= len(stage.engines.engines_of("s1-0")) <= FREE_ENDS + 1 + rests
+        assert (
+            MIN_ENDS_TO_REFUSE
+            <= len(stage.engines.engines_of("s1-0"))
+            <= MIN_ENDS_TO_REFUSE + 1 + rests
+        )
         stage.engines.ends_on.clear()
         await stage.listed(4)
 
--- a/tests/explain/test_barred.py
+++ b/tests/explain/test_barred.py
@@ -37,12 +37,12 @@
     guard = make_guard(CrashLedger())
     loop = asyncio.get_running_loop()
     for name in ("a", "b", "c"):
-        await guard.cut(f"r-{name}", CALL, TargetStart(name, "h:1", 5), loop.time(), "reset")
+        await guard.record_cut(f"r-{name}", CALL, TargetStart(name, "h:1", 5), loop.time(), "reset")
         await asyncio.sleep(0.002)
-    guard.standing("r-held", CALL)
+    guard.verdict("r-held", CALL)
     await asyncio.sleep(1.05)
     guard.review([])
-    guard.standing("r-again", CALL)
+    guard.verdict("r-again", CALL)
 
 
 def test_a_refused_request_is_told_with_who_saw_its_ends_and_how_old_that_is(
--- a/tests/serving/test_crash_watch.py
+++ b/tests/serving/test_crash_watch.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from samphirecleat.crashes import SETTLE_S, CrashLedger, Registered, RunEnd
+from samphirecleat.crashes import SETTLE_S, CrashLedger, RegistrationState, RunEnd
 from samphirecleat.errors import ErrorKind, Ran, RequestError
 from samphirecleat.serving import (
     Call,
@@ -164,10 +164,10 @@
     target = Target("t", "svc", "t:1", "z", 4, False, started_at_ms=5)
     other = target._replace(instance="o", address="o:1")
     table.replace({"t": target, "o": other, "p": target._replace(instance="p", service="else")})
-    assert registration_state(table, target_start(target)) is Registered.READY
+    assert registration_state(table, target_start(target)) is RegistrationState.READY
     assert sibling_targets(table, target_start(target)) == [target_start(other)]
     table.replace({"t": target._replace(draining=True)})
-    assert registration_state(table, target_start(target)) is Registered.DRAINING
+    assert registration_state(table, target_start(target)) is RegistrationState.DRAINING
     table.replace({"t": target._replace(started_at_ms=6)})
-    assert registration_state(table, target_start(target)) is Registered.GONE
+    assert registration_state(table, target_start(target)) is RegistrationState.GONE
     assert sibling_targets(table, target_start(target._replace(instance="unknown"))) == []
