--- a/samphirecleat/platform/_watches.py
+++ b/samphirecleat/platform/_watches.py
@@ -56,7 +56,7 @@
                 self._words.error(
                     "revision=%d key mark=%s is held by workspaces %s: it names none of them",
                     config.revision,
-                    conflict.mark,
+                    conflict.fingerprint,
                     ",".join(conflict.workspaces),
                 )
 
--- a/samphirecleat/serving/_authenticator.py
+++ b/samphirecleat/serving/_authenticator.py
@@ -6,7 +6,7 @@
 from ..errors import ErrorKind, Ran, RequestError
 from ._route_table import RouteTable
 from ._types import Workspace
-from ._workspaces import ANONYMOUS, key_mark
+from ._workspaces import ANONYMOUS, key_fingerprint
 
 SCHEME: Final = "bearer"
 # A node that read the configuration this recently knows every key that must be in force.
@@ -64,7 +64,7 @@
             if workspace is not None and not self._is_shut():
                 return workspace
             if key and not fault:
-                fault = f"the key with mark {key_mark(key)} is not in force"
+                fault = f"the key with mark {key_fingerprint(key)} is not in force"
         if anonymous:
             return ANONYMOUS
         if self._is_shut() or self._config_age_s() > CONFIRMED_WITHIN_S:
--- a/samphirecleat/serving/_workspaces.py
+++ b/samphirecleat/serving/_workspaces.py
@@ -9,13 +9,13 @@
 
 ANONYMOUS: Final = Workspace("", ())
 _DIGEST_BYTES: Final = 16
-_MARK_BYTES: Final = 3
+_FINGERPRINT_BYTES: Final = 3
 
 
 class KeyConflict(NamedTuple):
     """A key that several workspaces hold, by its mark."""
 
-    mark: str
+    fingerprint: str
     workspaces: Sequence[str]
 
 
@@ -30,19 +30,19 @@
         """Take the keys of ``config``; one that several workspaces hold names none of them."""
         self._secret = secrets.token_bytes(_DIGEST_BYTES)
         holders: dict[bytes, dict[str, Workspace]] = {}
-        marks: dict[bytes, str] = {}
+        fingerprints: dict[bytes, str] = {}
         for workspace in config.workspaces:
             for key in workspace.keys:
                 digest = self._digest(key)
                 held = holders.setdefault(digest, {})
                 held[workspace.name] = workspace
                 if len(held) > 1:
-                    marks[digest] = key_mark(key)
+                    fingerprints[digest] = key_fingerprint(key)
         self._by_digest: Mapping[bytes, Workspace] = {
             digest: next(iter(held.values())) for digest, held in holders.items() if len(held) == 1
         }
         self.conflicts: Sequence[KeyConflict] = [
-            KeyConflict(marks[digest], sorted(held))
+            KeyConflict(fingerprints[digest], sorted(held))
             for digest, held in holders.items()
             if len(held) > 1
         ]
@@ -56,7 +56,7 @@
         return hashlib.blake2b(content, key=self._secret, digest_size=_DIGEST_BYTES).digest()
 
 
-def key_mark(key: str) -> str:
+def key_fingerprint(key: str) -> str:
     """Return what stands for a key in logs: the same at every node, and too short to guess by."""
     content = key.encode("utf-8", "surrogateescape")
-    return hashlib.blake2b(content, digest_size=_MARK_BYTES).hexdigest()
+    return hashlib.blake2b(content, digest_size=_FINGERPRINT_BYTES).hexdigest()
--- a/tests/serving/test_authenticator.py
+++ b/tests/serving/test_authenticator.py
@@ -12,7 +12,7 @@
     RouteTable,
     RoutingConfig,
     Workspace,
-    key_mark,
+    key_fingerprint,
 )
 
 KEY = "f75rjvz48wuakn2ftima"
@@ -117,7 +117,9 @@
     table = KeyTable(config(1, Workspace("a", ["k", "k", "own"]), Workspace("b", ["k"])))
     assert table.find("k") is None
     assert table.find("own") == Workspace("a", ["k", "k", "own"])
-    assert [(c.mark, c.workspaces) for c in table.conflicts] == [(key_mark("k"), ["a", "b"])]
+    assert [(c.fingerprint, c.workspaces) for c in table.conflicts] == [
+        (key_fingerprint("k"), ["a", "b"])
+    ]
 
 
 def test_a_key_that_one_workspace_holds_twice_is_its_key() -> None:
@@ -133,5 +135,5 @@
     gate = authenticator(config(1, Workspace("shop", ["other"])))
     with pytest.raises(RequestError) as refusal:
         gate.authenticate([f"Bearer {KEY}"], anonymous=False)
-    assert key_mark(KEY) in refusal.value.detail
+    assert key_fingerprint(KEY) in refusal.value.detail
     assert KEY[:4] not in refusal.value.detail
