--- a/samphirecleat/serving/__init__.py
+++ b/samphirecleat/serving/__init__.py
@@ -1,4 +1,4 @@
-"""Serving callers' calls by routes: types, the tables that a node keeps, the forwarder."""
+"""Request routing and forwarding: shared types, per-node tables and the forwarder."""
 
 from ._advertised_members import advertised_members
 from ._authenticator import ApiKeyAuthenticator
@@ -7,7 +7,7 @@
 from ._registry import TargetRegistry
 from ._route_table import RouteTable
 from ._stream_relay import RelayedStream, StreamBrokenError, StreamRelay
-from ._target_table import TargetTable, services_in_turn
+from ._target_table import TargetTable, select_services
 from ._types import (
     DEFAULT_PRIORITY,
     EMPTY_CONFIG,
@@ -71,6 +71,6 @@
     "advertised_members",
     "sibling_targets",
     "registration_state",
-    "services_in_turn",
+    "select_services",
     "target_start",
 ]
--- a/samphirecleat/serving/_advertised_members.py
+++ b/samphirecleat/serving/_advertised_members.py
@@ -1,8 +1,8 @@
-"""Which nodes callers are told to use: all of a small fleet, a part of a large one.
+"""Selects the nodes that are advertised to callers: all of a small fleet, part of a large one.
 
-Load pattern answered: some dozen calls a second over some dozen nodes. Spread over all of them
-each node has a call every few seconds, its connections to targets are closed as idle in
-between, and nearly every call pays for a new one. Fewer entries keep their connections warm.
+A few dozen calls per second spread over a few dozen nodes leave each node with one call every few
+seconds. Its connections to targets are then closed as idle between calls, and nearly every call
+opens a new one. Advertising fewer nodes keeps their connections in use.
 """
 
 import hashlib
@@ -13,20 +13,20 @@
 from .._strong_hosts import strong_from_cores
 from ..blackboard import Member
 
-# Fleets up to this size offer every node, so that a lost one costs few callers.
-OFFERED_AT_LEAST: Final = 16
-# Of a larger fleet this share is offered. At 390 nodes and 3,100 calls a second that makes 32
-# calls a second a node, a small part of what one serves.
-OFFERED_SHARE: Final = 0.25
+# Fleets up to this size advertise every node, so that losing one affects few callers.
+MIN_ADVERTISED: Final = 16
+# Share of a larger fleet that is advertised. With 390 nodes and 3,100 calls per second, each
+# advertised node gets 32 calls per second, a small part of its capacity.
+ADVERTISED_SHARE: Final = 0.25
 
 
 def advertised_members(members: Sequence[Member]) -> Sequence[Member]:
-    """Return the nodes to offer, spread evenly over the availability zones.
+    """Return the nodes to advertise, spread evenly over the availability zones.
 
-    All nodes that know the same members choose the same ones: strong hosts first, then by a
-    hash of the name, so that a node that comes or goes changes one entry and no other.
+    The selection depends only on the membership: strong hosts come first, then nodes are ordered by
+    a hash of their name. A node that joins or leaves therefore changes one entry only.
     """
-    wanted = max(OFFERED_AT_LEAST, math.ceil(len(members) * OFFERED_SHARE))
+    wanted = max(MIN_ADVERTISED, math.ceil(len(members) * ADVERTISED_SHARE))
     if len(members) <= wanted:
         return members
     strong_cores = strong_from_cores(member.cores for member in members)
@@ -38,9 +38,9 @@
     by_zone: dict[str, list[Member]] = {}
     for member in sorted(members, key=rank):
         by_zone.setdefault(member.zone, []).append(member)
-    offered: list[Member] = []
-    turn = 0
-    while len(offered) < wanted:
-        offered.extend(zone[turn] for zone in by_zone.values() if turn < len(zone))
-        turn += 1
-    return offered
+    advertised: list[Member] = []
+    position = 0
+    while len(advertised) < wanted:
+        advertised.extend(zone[position] for zone in by_zone.values() if position < len(zone))
+        position += 1
+    return advertised
--- a/samphirecleat/serving/_attempt_trail.py
+++ b/samphirecleat/serving/_attempt_log.py
@@ -1,4 +1,4 @@
-"""Which targets a call was sent to and what came of each: explains a failure in one line."""
+"""Records which targets a call was sent to and each outcome, for one-line failure messages."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -7,34 +7,34 @@
 
 
 @dataclass
-class _Sent:
+class _Attempt:
     instance: str
     sent_at_s: float
     outcome: str = ""
     took_s: float = 0.0
 
 
-class AttemptTrail:
-    """The attempts of one call, in the order in which they were sent."""
+class AttemptLog:
+    """The attempts of one call, in sending order."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self._attempts: list[_Sent] = []
+        """Start without attempts."""
+        self._attempts: list[_Attempt] = []
 
-    def sent(self, instance: str, now_s: float) -> None:
-        """Note that the call goes to a target."""
-        self._attempts.append(_Sent(instance, now_s))
+    def record_sent(self, instance: str, now_s: float) -> None:
+        """Record that the call is sent to a target."""
+        self._attempts.append(_Attempt(instance, now_s))
 
-    def ended(self, instance: str, outcome: str, now_s: float) -> None:
-        """Note what came of the last attempt at a target."""
+    def record_outcome(self, instance: str, outcome: str, now_s: float) -> None:
+        """Record the outcome of the latest unfinished attempt at a target."""
         for attempt in reversed(self._attempts):
             if attempt.instance == instance and not attempt.outcome:
                 attempt.outcome = outcome
                 attempt.took_s = now_s - attempt.sent_at_s
                 return
 
-    def told(self, now_s: float) -> str:
-        """Return each target with its outcome and how long that took."""
+    def summary(self, now_s: float) -> str:
+        """Return each attempted target with its outcome and duration."""
         if not self._attempts:
             return NO_TARGET
         return "; ".join(
--- a/samphirecleat/serving/_crash_watch.py
+++ b/samphirecleat/serving/_crash_watch.py
@@ -1,4 +1,4 @@
-"""Calls and targets as the bound on calls that end their targets knows them."""
+"""Maps calls and targets to the types of the crash guard."""
 
 from collections.abc import Sequence
 
@@ -8,17 +8,17 @@
 
 
 def call_digest(call: Call) -> bytes:
-    """Return what stands for a call, whatever its id."""
+    """Return the digest that identifies a call independently of its request ID."""
     return request_digest(call.method, call.host, call.raw_path, call.caller, call.body)
 
 
 def target_start(target: Target) -> TargetStart:
-    """Return the start of a target that its registration tells of."""
+    """Return the process start that a target's registration describes."""
     return TargetStart(target.instance, target.address, target.started_at_ms)
 
 
 def registration_state(targets: TargetTable, start: TargetStart) -> RegistrationState:
-    """Return what the registrations in use say of one start of a target."""
+    """Return the registration state of one start of a target."""
     target = targets.targets.get(start.instance)
     if target is None or target_start(target) != start:
         return RegistrationState.GONE
@@ -26,7 +26,7 @@
 
 
 def sibling_targets(targets: TargetTable, start: TargetStart) -> Sequence[TargetStart]:
-    """Return the other targets that serve the same as one that is registered."""
+    """Return the other targets of the same service; none if the target isn't registered."""
     target = targets.targets.get(start.instance)
     serving = targets.serving(target.service) if target is not None else ()
     return [target_start(other) for other in serving if other.instance != start.instance]
--- a/samphirecleat/serving/_route_table.py
+++ b/samphirecleat/serving/_route_table.py
@@ -1,4 +1,4 @@
-"""Which route a call takes: its host, then the longest prefix of its path."""
+"""Selects the route of a call: by host, then by the longest matching path prefix."""
 
 from collections import defaultdict
 from collections.abc import Sequence
@@ -8,13 +8,13 @@
 from ._types import DEFAULT_PRIORITY, EMPTY_CONFIG, CallKind, Route, RoutingConfig
 from ._workspaces import KeyTable
 
-# What a caller is told to wait at a node that has just started.
+# Retry delay for callers of a node that has no configuration yet.
 RETRY_AFTER_S: Final = 0.2
 _STEP_KINDS: Final = (CallKind.ROLLOUT, CallKind.BATCH)
 
 
 class RouteTable:
-    """The configuration in force, arranged for looking up; it never goes back."""
+    """The active configuration, indexed for lookups; its revision never decreases."""
 
     def __init__(self) -> None:
         """Start without a configuration."""
@@ -25,20 +25,20 @@
 
     @property
     def has_config(self) -> bool:
-        """Whether any configuration has come; until then no route can be denied."""
+        """Whether a configuration has been received; without one, no route can be denied."""
         return self.config.revision >= 0
 
     def require_config(self) -> None:
-        """Return if any configuration has come.
+        """Return if a configuration has been received.
 
-        :raises RequestError: NOT_READY before that: nothing can be said of a route or a key.
+        :raises RequestError: NOT_READY if not, since routes and keys are still unknown.
         """
         if not self.has_config:
-            detail = "no configuration yet"
+            detail = "no configuration received yet"
             raise RequestError(ErrorKind.NOT_READY, detail, retry_after_s=RETRY_AFTER_S)
 
     def put(self, config: RoutingConfig) -> bool:
-        """Take a configuration into force; False for one that is not newer."""
+        """Activate a configuration; return False if it isn't newer than the active one."""
         if config.revision <= self.config.revision:
             return False
         by_host: dict[str, list[Route]] = defaultdict(list)
@@ -57,7 +57,7 @@
         return True
 
     def find(self, host: str, raw_path: str) -> Route | None:
-        """Return the route with the longest prefix of the path, or None."""
+        """Return the route with the longest matching path prefix, None if there is none."""
         path = raw_path.partition("?")[0]
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
@@ -65,10 +65,10 @@
         return None
 
     def priority_of(self, workspace: str) -> int:
-        """Return the rank of a workspace's work, the middle one for a workspace without."""
+        """Return the priority of a workspace, the default one if it has none."""
         return self._priorities.get(workspace, DEFAULT_PRIORITY)
 
     def allows_anonymous_steps(self, host: str) -> bool:
-        """Whether steps may be submitted to a host without a key."""
+        """Whether steps may be submitted to a host without an API key."""
         routes = self._by_host.get(host.lower(), ())
         return any(route.allows_anonymous and route.kind in _STEP_KINDS for route in routes)
--- a/samphirecleat/serving/_types.py
+++ b/samphirecleat/serving/_types.py
@@ -1,4 +1,4 @@
-"""What a fleet on a platform serves: routes, services, targets, calls and their answers."""
+"""Types of the serving path: routes, services, targets, calls and their answers."""
 
 from collections.abc import AsyncGenerator, Mapping, Sequence
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class CallKind(Enum):
-    """What may be done with a call of a route after a first attempt."""
+    """Kind of a route's calls; it decides whether and how a call may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -19,17 +19,17 @@
 
 
 class WeightedService(NamedTuple):
-    """A service that a route may use, and its share among the route's services."""
+    """A service of a route and its weight among the route's services."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """One route of the configuration in force.
+    """One route of the active configuration.
 
-    ``timeout_s`` is the longest that a call is kept waiting; 0 is no bound.
-    ``max_attempts`` counts targets, per attempt of the caller.
+    ``timeout_s`` is the longest time that a call may wait; 0 means no limit. ``max_attempts``
+    counts the targets that one attempt of the caller may be sent to.
     """
 
     name: str
@@ -49,9 +49,9 @@
 
 
 class Workspace(NamedTuple):
-    """A workspace of the configuration and the keys that its callers may bring.
+    """A workspace of the configuration and the API keys of its callers.
 
-    ``priority`` goes before that of a route, 0 first; None leaves the route's.
+    ``priority`` overrides that of a route, 0 being the highest; None keeps the route's.
     """
 
     name: str
@@ -60,10 +60,11 @@
 
 
 class ScalingSpec(NamedTuple):
-    """How many targets of a service may be ordered in each availability zone, and their prices.
+    """Bounds on the number of targets of a service per availability zone, and their prices.
 
-    The bounds hold for each zone and for both kinds of targets together. ``zone_prices`` and
-    ``spot_price`` are parts of the price of an ordinary target; 0.0 is no spot targets.
+    The bounds apply to each zone and to both kinds of targets together. ``zone_prices`` and
+    ``spot_price`` are fractions of the price of an ordinary target; a ``spot_price`` of 0.0 means
+    that no spot targets are ordered.
     """
 
     minimum: int
@@ -74,7 +75,7 @@
 
 
 class EngineSpec(NamedTuple):
-    """What the configuration says of a service of model engines.
+    """Configuration of a service of model engines.
 
     Each event of a stream holds ``tokens_per_event`` tokens.
     """
@@ -86,7 +87,7 @@
 
 
 class ServiceSpec(NamedTuple):
-    """A service of the configuration; ``engine`` is None for a plain one."""
+    """Configuration of a service; ``engine`` is None if it doesn't run model engines."""
 
     name: str
     health_path: str
@@ -96,7 +97,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of a caller's requests, in bytes, and on its timeouts, in seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 33554432
@@ -105,10 +106,10 @@
 
 
 class RoutingConfig(NamedTuple):
-    """A whole configuration; a higher ``revision`` replaces a lower one.
+    """A complete configuration; a higher ``revision`` replaces a lower one.
 
-    Callers bring a key of a workspace only where it ``requires_keys``: a configuration with an
-    empty list of workspaces serves nobody but the callers of anonymous routes.
+    Callers must present the key of a workspace if ``requires_keys`` is set. With an empty list of
+    workspaces, only callers of routes that allow anonymous calls are then served.
     """
 
     revision: int
@@ -120,12 +121,11 @@
 
 
 class Target(NamedTuple):
-    """One target as it registered itself.
+    """One target as described by its registration.
 
-    ``instance`` is new at most starts; ``started_at_ms`` tells two starts of one
-    instance apart. ``order_sequence`` counts the orders that it accepted.
-    ``versions`` holds the version of each model that it has loaded. A ``spot`` target is a
-    cheap one that may be taken away at short notice.
+    ``instance`` is new on most starts; ``started_at_ms`` distinguishes two starts of one instance.
+    ``versions`` holds the loaded version of each model. A ``spot`` target is cheaper and may be
+    reclaimed at short notice.
     """
 
     instance: str
@@ -140,11 +140,11 @@
 
 
 class Call(NamedTuple):
-    """One attempt of a caller, as it came in; bytes and names are unchanged.
+    """One attempt of a caller as received; header names and bytes are unchanged.
 
-    ``raw_path`` holds path and query as sent. ``deadline_s`` is the time of the
-    node's clock at which the caller stops waiting. ``workspace`` is whose key it brought, ""
-    for an anonymous call. ``caller`` is who sent it, as far as that can be told.
+    ``raw_path`` holds the path and query as sent. ``deadline_s`` is the time on the node's clock at
+    which the caller stops waiting. ``workspace`` is the one whose key the caller presented, "" for
+    an anonymous call. ``caller`` identifies the sender as far as it is known.
     """
 
     request_id: str
@@ -160,7 +160,7 @@
 
 
 class TargetAnswer(NamedTuple):
-    """A whole and checked answer of a target."""
+    """A complete and verified answer of a target."""
 
     status: int
     headers: Sequence[tuple[str, str]]
@@ -169,12 +169,12 @@
 
 
 class TargetFault(Exception):
-    """An attempt at a target that gave no answer to pass on.
+    """An attempt at a target that yielded no usable answer.
 
-    ``ran`` is NO only if no byte left for the target, or the target said so.
-    ``refused`` marks a target that has no room; ``wrong_instance`` one that is not
-    the target it was taken for. ``cut`` says that the target's end of the connection went away
-    before its answer was whole.
+    ``ran`` is NO only if no byte was sent to the target, or the target said that the call didn't
+    run. ``refused`` marks a target that has no capacity, ``wrong_instance`` a different target at
+    the expected address. ``cut`` says that the target closed the connection before its answer was
+    complete.
     """
 
     def __init__(
@@ -186,7 +186,7 @@
         wrong_instance: bool = False,
         cut: bool = False,
     ) -> None:
-        """Say what was seen of the target."""
+        """Describe the failure in ``detail``."""
         super().__init__(detail)
         self.detail = detail
         self.ran = ran
@@ -196,18 +196,18 @@
 
 
 class CallChannel(Protocol):
-    """Sends one call to one target and takes its whole answer."""
+    """Sends a call to a target and receives its complete answer."""
 
     async def exchange(self, call: Call, target: Target, budget_s: float) -> TargetAnswer:
-        """Return the checked answer.
+        """Return the verified answer.
 
-        :raises TargetFault: when there is none, saying whether the call may have run.
+        :raises TargetFault: when there is none; its ``ran`` tells whether the call may have run.
         """
         ...
 
 
 class StreamStart(NamedTuple):
-    """The head of an event stream, before its first event; ``version`` made what follows."""
+    """The head of an event stream; ``version`` produced the events that follow."""
 
     status: int
     headers: Sequence[tuple[str, str]]
@@ -215,7 +215,7 @@
 
 
 class StreamEvent(NamedTuple):
-    """One whole event; ``block`` holds its bytes as they came, without the blank line."""
+    """One complete event; ``block`` holds its bytes as received, without the blank line."""
 
     event_id: int
     version: int
@@ -223,21 +223,22 @@
 
 
 class StreamChannel(Protocol):
-    """Sends one call to one target and takes its answer as it is made."""
+    """Sends a call to a target and receives its answer as a stream."""
 
     def stream(
         self, call: Call, target: Target, budget_s: float, last_event_id: int
     ) -> AsyncGenerator[TargetAnswer | StreamStart | StreamEvent, None]:
-        """Yield the head of the stream and then its events, or one whole answer instead.
+        """Yield the head of the stream and then its events, or one complete answer instead.
 
-        ``last_event_id`` asks the target to go on behind that event; 0 asks for nothing.
+        ``last_event_id`` asks the target to resume after that event; 0 starts at the beginning.
 
-        :raises TargetFault: when the stream ends before its end.
+        :raises TargetFault: when the stream breaks off.
         """
         ...
 
 
-# Of a call or an item that neither a workspace nor a route ranks; 0 comes first, 9 last.
+# Priority of a call or item for which neither workspace nor route sets one; 0 is the highest, 9 the
+# lowest.
 DEFAULT_PRIORITY: Final = 5
 NO_REVISION: Final = -1
 EMPTY_CONFIG: Final = RoutingConfig(NO_REVISION, (), {}, CallerLimits())
--- a/samphirecleat/serving/_workspaces.py
+++ b/samphirecleat/serving/_workspaces.py
@@ -1,4 +1,4 @@
-"""Which workspace a caller's key belongs to, by the configuration in force."""
+"""Maps API keys to workspaces by the active configuration."""
 
 import hashlib
 import secrets
@@ -13,42 +13,44 @@
 
 
 class KeyConflict(NamedTuple):
-    """A key that several workspaces hold, by its mark."""
+    """A key that is assigned to several workspaces, identified by its fingerprint."""
 
     fingerprint: str
     workspaces: Sequence[str]
 
 
 class KeyTable:
-    """Workspaces by key, built anew with each configuration.
+    """Workspaces by API key, rebuilt for each configuration.
 
-    Keys are looked up by a digest under a secret of this process: how long a look-up takes says
-    nothing of how much of a guessed key was right.
+    Keys are looked up by a digest keyed with a secret of this process, so that the lookup time
+    doesn't reveal how much of a guessed key is correct.
     """
 
     def __init__(self, config: RoutingConfig) -> None:
-        """Take the keys of ``config``; one that several workspaces hold names none of them."""
+        """Index the keys of ``config``; a key of several workspaces maps to none of them."""
         self._secret = secrets.token_bytes(_DIGEST_BYTES)
-        holders: dict[bytes, dict[str, Workspace]] = {}
+        owners_by_digest: dict[bytes, dict[str, Workspace]] = {}
         fingerprints: dict[bytes, str] = {}
         for workspace in config.workspaces:
             for key in workspace.keys:
                 digest = self._digest(key)
-                held = holders.setdefault(digest, {})
-                held[workspace.name] = workspace
-                if len(held) > 1:
+                owners = owners_by_digest.setdefault(digest, {})
+                owners[workspace.name] = workspace
+                if len(owners) > 1:
                     fingerprints[digest] = key_fingerprint(key)
         self._by_digest: Mapping[bytes, Workspace] = {
-            digest: next(iter(held.values())) for digest, held in holders.items() if len(held) == 1
+            digest: next(iter(owners.values()))
+            for digest, owners in owners_by_digest.items()
+            if len(owners) == 1
         }
         self.conflicts: Sequence[KeyConflict] = [
-            KeyConflict(fingerprints[digest], sorted(held))
-            for digest, held in holders.items()
-            if len(held) > 1
+            KeyConflict(fingerprints[digest], sorted(owners))
+            for digest, owners in owners_by_digest.items()
+            if len(owners) > 1
         ]
 
     def find(self, key: str) -> Workspace | None:
-        """Return the workspace that holds a key, None if no single one does."""
+        """Return the workspace of a key, None if it has none or several."""
         return self._by_digest.get(self._digest(key))
 
     def _digest(self, key: str) -> bytes:
@@ -57,6 +59,9 @@
 
 
 def key_fingerprint(key: str) -> str:
-    """Return what stands for a key in logs: the same at every node, and too short to guess by."""
+    """Return a short fingerprint of a key for logs.
+
+    It is the same on every node, and too short to check guesses of the key against.
+    """
     content = key.encode("utf-8", "surrogateescape")
     return hashlib.blake2b(content, digest_size=_FINGERPRINT_BYTES).hexdigest()
--- a/tests/serving/test_stream_relay.py
+++ b/tests/serving/test_stream_relay.py
@@ -147,7 +147,7 @@
 
 def test_a_silent_target_is_left_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
     """A connection went silent in the middle of a stream; a caller leaves after two seconds."""
-    monkeypatch.setattr(relay_module, "SILENT_S", 0.05)
+    monkeypatch.setattr(relay_module, "EVENT_TIMEOUT_S", 0.05)
     channel = ScriptedStreams([3, "quiet"])
     assert relay(channel, route(resumable=True)) == (list(range(1, LENGTH + 1)), "whole", None)
     assert len({instance for instance, _ in channel.asked}) == 2
--- a/tests/serving/test_tables.py
+++ b/tests/serving/test_tables.py
@@ -12,7 +12,7 @@
     TargetRegistry,
     TargetTable,
     WeightedService,
-    services_in_turn,
+    select_services,
 )
 
 
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize(("draw", "want"), [(0.0, "a"), (0.89, "a"), (0.91, "b"), (1.0, "b")])
 def test_a_split_follows_its_shares(draw: float, want: str) -> None:
-    assert services_in_turn(route("r", "h", "/", ("a", 90), ("b", 10)), draw) == [want]
+    assert select_services(route("r", "h", "/", ("a", 90), ("b", 10)), draw) == [want]
 
 
 def target(name: str, **changes: object) -> Target:
@@ -109,7 +109,7 @@
             targets.answered(late, known_s, 0.0)
         targets.answered(quick, 0.03, 0.0)
     for _ in range(3):
-        targets.left_unanswered(late, waited_s, 1.0)
+        targets.abandoned(late, waited_s, 1.0)
     assert (targets.choose(["svc"], [], 1.0) == quick) is slow
 
 
