--- a/tests/serving/__init__.py
+++ b/tests/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of serving by routes."""
+"""Tests of routing and forwarding."""
--- a/tests/serving/test_advertised_members.py
+++ b/tests/serving/test_advertised_members.py
@@ -1,4 +1,4 @@
-"""Which nodes callers are offered."""
+"""Selection of the nodes that are advertised to callers."""
 
 from collections import Counter
 
@@ -21,31 +21,31 @@
 @pytest.mark.parametrize(
     ("nodes", "least", "most"), [(0, 0, 0), (9, 9, 9), (16, 16, 16), (75, 19, 21), (390, 98, 100)]
 )
-def test_how_many_are_offered(nodes: int, least: int, most: int) -> None:
-    offered = advertised_members([member(n) for n in range(nodes)])
-    assert least <= len(offered) <= most
-    assert len(set(offered)) == len(offered)
+def test_number_of_advertised_nodes(nodes: int, least: int, most: int) -> None:
+    advertised = advertised_members([member(n) for n in range(nodes)])
+    assert least <= len(advertised) <= most
+    assert len(set(advertised)) == len(advertised)
 
 
-def test_zones_are_offered_alike_and_strong_hosts_first() -> None:
-    """A zone is lost, and the callers of the others must find as many nodes as before."""
+def test_zones_are_balanced_and_strong_hosts_come_first() -> None:
+    """After the loss of a zone, callers must still find nodes in each of the others."""
     members = [member(n, cores=2.1 if n < 18 else 0.5) for n in range(75)]
-    offered = advertised_members(members)
-    assert max(Counter(m.zone for m in offered).values()) <= 7
-    assert {m.node_id for m in members[:18]} <= {m.node_id for m in offered}
-    left = [m for m in members if m.zone != "a"]
-    assert {m.zone for m in advertised_members(left)} == {"b", "c"}
-    assert len(advertised_members(left)) >= 16
+    advertised = advertised_members(members)
+    assert max(Counter(m.zone for m in advertised).values()) <= 7
+    assert {m.node_id for m in members[:18]} <= {m.node_id for m in advertised}
+    remaining = [m for m in members if m.zone != "a"]
+    assert {m.zone for m in advertised_members(remaining)} == {"b", "c"}
+    assert len(advertised_members(remaining)) >= 16
 
 
-def test_a_lost_node_changes_one_entry() -> None:
-    """Callers that keep an answer for a while must not all turn to other nodes."""
+def test_lost_node_changes_one_entry() -> None:
+    """Callers that cache the list must not all switch to other nodes at once."""
     members = [member(n) for n in range(75)]
-    offered = advertised_members(members)
-    lost = offered[3]
+    advertised = advertised_members(members)
+    lost = advertised[3]
     after = advertised_members([m for m in members if m is not lost])
-    assert len({m.node_id for m in offered} - {m.node_id for m in after}) <= 2
+    assert len({m.node_id for m in advertised} - {m.node_id for m in after}) <= 2
     assert advertised_members(list(reversed(members))) != []
     assert {m.node_id for m in advertised_members(list(reversed(members)))} == {
-        m.node_id for m in offered
+        m.node_id for m in advertised
     }
--- a/tests/serving/test_authenticator.py
+++ b/tests/serving/test_authenticator.py
@@ -1,4 +1,4 @@
-"""Who a caller is by its key, and when a node may call a key wrong."""
+"""API keys: which workspace a key belongs to, and when a node may reject a key as invalid."""
 
 from collections.abc import Sequence
 
@@ -18,28 +18,28 @@
 KEY = "f75rjvz48wuakn2ftima"
 FRESH_S = 0.1
 OLD_S = 2.0
-LONG_OLD_S = 7.0
+PAST_REVOCATION_S = 7.0
 
 
-def config(revision: int, *workspaces: Workspace, asks: bool = True) -> RoutingConfig:
-    return RoutingConfig(revision, (), {}, CallerLimits(), workspaces, asks)
+def config(revision: int, *workspaces: Workspace, requires_keys: bool = True) -> RoutingConfig:
+    return RoutingConfig(revision, (), {}, CallerLimits(), workspaces, requires_keys)
 
 
-def authenticator(
-    in_force: RoutingConfig | None, age_s: float = FRESH_S, *, fails_closed: bool = False
+def make_authenticator(
+    active: RoutingConfig | None, age_s: float = FRESH_S, *, fails_closed: bool = False
 ) -> ApiKeyAuthenticator:
     routes = RouteTable()
-    if in_force is not None:
-        routes.put(in_force)
+    if active is not None:
+        routes.put(active)
     return ApiKeyAuthenticator(routes, lambda: age_s, fails_closed=fails_closed, revocation_s=5.0)
 
 
 def outcome(
-    gate: ApiKeyAuthenticator, credentials: Sequence[str], *, anonymous: bool = False
+    authenticator: ApiKeyAuthenticator, credentials: Sequence[str], *, anonymous: bool = False
 ) -> str | ErrorKind:
-    """Return the workspace's name, or the kind of the refusal."""
+    """Return the workspace's name, or the kind of the error."""
     try:
-        return gate.authenticate(credentials, anonymous=anonymous).name
+        return authenticator.authenticate(credentials, anonymous=anonymous).name
     except RequestError as error:
         return error.kind
 
@@ -65,55 +65,61 @@
         ([f"Bearer {KEY}"], True, "shop"),
     ],
 )
-def test_a_caller_is_known_by_its_key_alone(
+def test_workspace_is_determined_by_key(
     credentials: list[str], anonymous: bool, want: str | ErrorKind
 ) -> None:
-    """Guards against a caller that is served as another workspace, or without a key in force."""
-    gate = authenticator(config(1, Workspace("shop", [KEY]), Workspace("club", ["other"])))
-    assert outcome(gate, credentials, anonymous=anonymous) == want
+    """Guards against serving a caller as another workspace, or without a valid key."""
+    authenticator = make_authenticator(
+        config(1, Workspace("shop", [KEY]), Workspace("club", ["other"]))
+    )
+    assert outcome(authenticator, credentials, anonymous=anonymous) == want
 
 
-def test_a_node_without_a_configuration_calls_no_key_wrong() -> None:
-    """Guards against a node that has just started and denies a proper caller for good."""
-    assert outcome(authenticator(None), [f"Bearer {KEY}"]) is ErrorKind.NOT_READY
+def test_node_without_configuration_rejects_no_key() -> None:
+    """Guards against a node that has just started and permanently rejects a valid caller."""
+    assert outcome(make_authenticator(None), [f"Bearer {KEY}"]) is ErrorKind.NOT_READY
 
 
-def test_where_no_keys_are_asked_for_nobody_needs_one() -> None:
-    assert outcome(authenticator(config(1, asks=False)), ["Bearer any"]) == ""
+def test_any_caller_is_anonymous_if_no_keys_are_required() -> None:
+    assert outcome(make_authenticator(config(1, requires_keys=False)), ["Bearer any"]) == ""
 
 
 @pytest.mark.parametrize(
     ("age_s", "fails_closed", "key", "want"),
     [
         (OLD_S, False, KEY, "shop"),
-        (LONG_OLD_S, False, KEY, "shop"),
+        (PAST_REVOCATION_S, False, KEY, "shop"),
         (OLD_S, True, KEY, "shop"),
-        (LONG_OLD_S, True, KEY, ErrorKind.NOT_READY),
+        (PAST_REVOCATION_S, True, KEY, ErrorKind.NOT_READY),
         (OLD_S, False, "new", ErrorKind.NOT_READY),
         (FRESH_S, True, "new", ErrorKind.UNAUTHENTICATED),
     ],
 )
-def test_a_node_that_hears_nothing_of_the_log(
+def test_keys_at_a_node_with_an_old_configuration(
     age_s: float, fails_closed: bool, key: str, want: str | ErrorKind
 ) -> None:
-    """Guards against a new key that is denied by an old node, and a taken one that outlives it."""
-    gate = authenticator(config(1, Workspace("shop", [KEY])), age_s, fails_closed=fails_closed)
-    assert outcome(gate, [f"Bearer {key}"]) == want
+    """Guards against an outdated node rejecting a new key, or accepting a revoked key too long."""
+    authenticator = make_authenticator(
+        config(1, Workspace("shop", [KEY])), age_s, fails_closed=fails_closed
+    )
+    assert outcome(authenticator, [f"Bearer {key}"]) == want
 
 
-def test_a_key_ends_with_the_configuration_that_lacks_it() -> None:
-    """Guards against a key that stays in force at a node that knows it is taken away."""
+def test_key_is_invalid_once_removed_from_configuration() -> None:
+    """Guards against a node accepting a key that its own configuration no longer holds."""
     routes = RouteTable()
-    gate = ApiKeyAuthenticator(routes, lambda: FRESH_S, fails_closed=False, revocation_s=5.0)
+    authenticator = ApiKeyAuthenticator(
+        routes, lambda: FRESH_S, fails_closed=False, revocation_s=5.0
+    )
     routes.put(config(1, Workspace("shop", [KEY, "second"])))
-    assert outcome(gate, [f"Bearer {KEY}"]) == "shop"
+    assert outcome(authenticator, [f"Bearer {KEY}"]) == "shop"
     routes.put(config(2, Workspace("shop", ["second"])))
-    assert outcome(gate, [f"Bearer {KEY}"]) is ErrorKind.UNAUTHENTICATED
-    assert outcome(gate, ["Bearer second"]) == "shop"
+    assert outcome(authenticator, [f"Bearer {KEY}"]) is ErrorKind.UNAUTHENTICATED
+    assert outcome(authenticator, ["Bearer second"]) == "shop"
 
 
-def test_a_key_that_two_workspaces_hold_names_neither() -> None:
-    """Guards against a caller that is served as whichever workspace stands first."""
+def test_key_of_two_workspaces_belongs_to_neither() -> None:
+    """Guards against serving a caller as whichever workspace is listed first."""
     table = KeyTable(config(1, Workspace("a", ["k", "k", "own"]), Workspace("b", ["k"])))
     assert table.find("k") is None
     assert table.find("own") == Workspace("a", ["k", "k", "own"])
@@ -122,7 +128,7 @@
     ]
 
 
-def test_a_key_that_one_workspace_holds_twice_is_its_key() -> None:
+def test_key_listed_twice_in_one_workspace_is_valid() -> None:
     table = KeyTable(config(1, Workspace("a", ["k", "k"])))
     assert not table.conflicts
     found = table.find("k")
@@ -130,10 +136,10 @@
     assert found.name == "a"
 
 
-def test_a_refusal_tells_no_key() -> None:
-    """Guards against keys in logs, which hold the detail of each refusal."""
-    gate = authenticator(config(1, Workspace("shop", ["other"])))
-    with pytest.raises(RequestError) as refusal:
-        gate.authenticate([f"Bearer {KEY}"], anonymous=False)
-    assert key_fingerprint(KEY) in refusal.value.detail
-    assert KEY[:4] not in refusal.value.detail
+def test_rejection_does_not_reveal_key() -> None:
+    """Guards against keys in logs, which include the detail of each rejection."""
+    authenticator = make_authenticator(config(1, Workspace("shop", ["other"])))
+    with pytest.raises(RequestError) as raised:
+        authenticator.authenticate([f"Bearer {KEY}"], anonymous=False)
+    assert key_fingerprint(KEY) in raised.value.detail
+    assert KEY[:4] not in raised.value.detail
--- a/tests/serving/test_crash_watch.py
+++ b/tests/serving/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""Calls under which targets ended: sent to one target at a time, apart, or not at all."""
+"""Calls under which targets crashed: sent to one target at a time, isolated, or refused."""
 
 import asyncio
 import random
@@ -33,17 +33,17 @@
 )
 
 
-class Channel:
-    """Targets that take ``takes_s`` for an answer, and end on calls to ``/ends``."""
+class CrashingChannel:
+    """Targets that answer after ``answer_delay_s`` and crash on calls to ``/ends``."""
 
     def __init__(self) -> None:
-        self.takes_s = 0.0
+        self.answer_delay_s = 0.0
         self.asked: list[tuple[str, str]] = []
 
     async def exchange(self, call: Call, target: Target, budget_s: float) -> TargetAnswer:
         del budget_s
         self.asked.append((call.raw_path, target.instance))
-        await asyncio.sleep(self.takes_s)
+        await asyncio.sleep(self.answer_delay_s)
         if call.raw_path == "/ends":
             raise TargetFault("reset", Ran.UNKNOWN, cut=True)
         return OK
@@ -52,11 +52,11 @@
         return [instance for path, instance in self.asked if path == raw_path]
 
 
-class Stage:
-    """A forwarder over six targets, with its guard."""
+class ForwarderFixture:
+    """A forwarder over six targets, with its crash guard."""
 
     def __init__(self) -> None:
-        self.channel = Channel()
+        self.channel = CrashingChannel()
         self.ledger = CrashLedger()
         self.table = TargetTable("z")
         names = [f"t{number}" for number in range(6)]
@@ -88,78 +88,76 @@
             self.ledger.note_end(call_digest(self.call(raw_path)), end, now_s)
 
 
-def play(body: Callable[[Stage], Awaitable[None]]) -> None:
+def run_with_fixture(body: Callable[[ForwarderFixture], Awaitable[None]]) -> None:
     async def main() -> None:
-        await body(Stage())
+        await body(ForwarderFixture())
 
     asyncio.run(main())
 
 
-def test_a_call_that_ends_its_targets_is_refused_under_every_id() -> None:
-    async def body(stage: Stage) -> None:
+def test_call_that_crashes_targets_is_refused_under_any_request_id() -> None:
+    async def body(fixture: ForwarderFixture) -> None:
         for number in range(2):
             with pytest.raises(RequestError) as raised:
-                await stage.forward("/ends", f"id-{number}")
+                await fixture.forward("/ends", f"id-{number}")
             assert raised.value.ran is Ran.UNKNOWN
-        assert len(stage.channel.asked) == 3
+        assert len(fixture.channel.asked) == 3
         with pytest.raises(RequestError) as raised:
-            await stage.forward("/ends", "held")
+            await fixture.forward("/ends", "held")
         assert (raised.value.kind, raised.value.ran) == (ErrorKind.CRASH_SUSPECTED, Ran.NO)
         assert raised.value.retry_after_s > 0.0
         await asyncio.sleep(SETTLE_S + 0.05)
         with pytest.raises(RequestError) as raised:
-            await stage.forward("/ends", "refused")
+            await fixture.forward("/ends", "refused")
         assert (raised.value.kind, raised.value.ran) == (ErrorKind.CRASHES_TARGETS, Ran.UNKNOWN)
         assert raised.value.retry_after_s == 0.0
-        assert len(stage.channel.asked) == 3
-        assert await stage.forward("/other") == OK
+        assert len(fixture.channel.asked) == 3
+        assert await fixture.forward("/other") == OK
 
-    play(body)
+    run_with_fixture(body)
 
 
 @pytest.mark.parametrize(("suspected", "attempts"), [(False, 2), (True, 1)])
-def test_a_suspect_that_is_late_gets_no_second_attempt_beside_the_first(
-    suspected: bool, attempts: int
-) -> None:
-    """Side by side, a request ends a second target before the first has told anything."""
+def test_late_suspect_gets_no_hedged_attempt(suspected: bool, attempts: int) -> None:
+    """A hedged attempt would crash a second target before the outcome of the first is known."""
 
-    async def body(stage: Stage) -> None:
-        stage.channel.takes_s = 0.12
+    async def body(fixture: ForwarderFixture) -> None:
+        fixture.channel.answer_delay_s = 0.12
         if suspected:
-            stage.suspect("/x", "gone")
-        assert await stage.forward("/x") == OK
-        assert len(stage.channel.asked) == attempts
+            fixture.suspect("/x", "gone")
+        assert await fixture.forward("/x") == OK
+        assert len(fixture.channel.asked) == attempts
 
-    play(body)
+    run_with_fixture(body)
 
 
-def test_no_call_runs_beside_a_suspect_while_another_target_is_free() -> None:
-    """A call that is not to blame would be lost with the suspect's next target, again and again."""
+def test_suspect_has_its_target_to_itself_while_others_are_available() -> None:
+    """A call that shares the suspect's target would be lost each time the suspect crashes it."""
 
-    async def body(stage: Stage) -> None:
-        stage.suspect("/suspect", "gone")
-        stage.suspect("/another", "gone")
-        stage.channel.takes_s = 0.05
+    async def body(fixture: ForwarderFixture) -> None:
+        fixture.suspect("/suspect", "gone")
+        fixture.suspect("/another", "gone")
+        fixture.channel.answer_delay_s = 0.05
         calls = ["/suspect", "/another", *(f"/{number}" for number in range(12))]
-        await asyncio.gather(*(stage.forward(path, path) for path in calls))
-        runs = {path: stage.channel.asked_for(path)[0] for path in calls}
+        await asyncio.gather(*(fixture.forward(path, path) for path in calls))
+        runs = {path: fixture.channel.asked_for(path)[0] for path in calls}
         beside = [path for path in calls[1:] if runs[path] == runs["/suspect"]]
         assert beside == []
-        assert not +stage.table.suspect_runs
+        assert not +fixture.table.suspect_runs
 
-    play(body)
+    run_with_fixture(body)
 
 
-def test_an_answer_clears_a_suspect() -> None:
-    async def body(stage: Stage) -> None:
-        stage.suspect("/x", "gone", "gone too")
-        assert await stage.forward("/x") == OK
-        assert not stage.ledger.suspects[call_digest(stage.call("/x"))].ends
+def test_answer_clears_suspect() -> None:
+    async def body(fixture: ForwarderFixture) -> None:
+        fixture.suspect("/x", "gone", "gone too")
+        assert await fixture.forward("/x") == OK
+        assert not fixture.ledger.suspects[call_digest(fixture.call("/x"))].ends
 
-    play(body)
+    run_with_fixture(body)
 
 
-def test_what_a_registration_says_of_a_start() -> None:
+def test_registration_state_of_a_target_start() -> None:
     table = TargetTable("z")
     target = Target("t", "svc", "t:1", "z", 4, False, started_at_ms=5)
     other = target._replace(instance="o", address="o:1")
--- a/tests/serving/test_forwarder.py
+++ b/tests/serving/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Attempts of one call: repeated by kind, bounded, and "not run" only where it is so."""
+"""Attempts of one call: retries by call kind, attempt limits, and when ``ran`` may be NO."""
 
 import asyncio
 import random
@@ -28,16 +28,16 @@
 
 
 class ScriptedChannel:
-    """Answers in the order of a script; a number is a silence of that many seconds."""
+    """Replies in scripted order; a number is a silence of that many seconds before the answer."""
 
     def __init__(self, *replies: Reply) -> None:
         self.replies = list(replies)
-        self.asked: list[str] = []
+        self.instances: list[str] = []
         self.cancelled = 0
 
     async def exchange(self, call: Call, target: Target, budget_s: float) -> TargetAnswer:
         del call, budget_s
-        self.asked.append(target.instance)
+        self.instances.append(target.instance)
         reply = self.replies.pop(0) if self.replies else OK
         if isinstance(reply, float):
             try:
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "replies", "asked"),
+    ("kind", "replies", "attempts"),
     [
         (CallKind.IDEMPOTENT, [OK], 1),
         (CallKind.IDEMPOTENT, [LOST, OK], 2),
@@ -82,14 +82,14 @@
         (CallKind.NON_IDEMPOTENT, [REFUSED, REPLACED, OK], 3),
     ],
 )
-def test_an_answer_is_brought_back(kind: CallKind, replies: list[Reply], asked: int) -> None:
+def test_answer_is_returned(kind: CallKind, replies: list[Reply], attempts: int) -> None:
     channel = ScriptedChannel(*replies)
     assert forward(channel, route(kind)) == OK
-    assert len(channel.asked) == asked
+    assert len(channel.instances) == attempts
 
 
 @pytest.mark.parametrize(
-    ("kind", "replies", "error", "ran", "asked"),
+    ("kind", "replies", "error", "ran", "attempts"),
     [
         (CallKind.IDEMPOTENT, [LOST, LOST, OK], ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN, 2),
         (CallKind.NON_IDEMPOTENT, [LOST, OK], ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN, 1),
@@ -98,50 +98,50 @@
     ],
     ids=["attempts used up", "may have run", "refused, then lost", "refused by all"],
 )
-def test_a_call_without_an_answer_says_what_is_known(
-    kind: CallKind, replies: list[Reply], error: ErrorKind, ran: Ran, asked: int
+def test_unanswered_call_reports_whether_it_may_have_run(
+    kind: CallKind, replies: list[Reply], error: ErrorKind, ran: Ran, attempts: int
 ) -> None:
-    """A call may not be repeated and its target resets the connection.
+    """Guards against a call that may have run being reported as not run.
 
-    Told "not run", its caller would send it again, and a buyer would get two quotes.
+    The caller would send it again, and a buyer would get two quotes.
     """
     channel = ScriptedChannel(*replies)
     with pytest.raises(RequestError) as raised:
         forward(channel, route(kind))
     assert (raised.value.kind, raised.value.ran) == (error, ran)
-    assert len(channel.asked) == asked
+    assert len(channel.instances) == attempts
 
 
-def test_a_failure_of_a_call_that_may_not_be_repeated_is_passed_on() -> None:
+def test_failure_of_non_idempotent_call_is_returned() -> None:
     channel = ScriptedChannel(FAILED)
     assert forward(channel, route(CallKind.NON_IDEMPOTENT)) == FAILED
-    assert len(channel.asked) == 1
+    assert len(channel.instances) == 1
 
 
-def test_a_target_that_failed_twice_passes_its_failure_on() -> None:
+def test_failure_is_returned_after_the_last_attempt() -> None:
     channel = ScriptedChannel(FAILED, FAILED)
     assert forward(channel, route(CallKind.IDEMPOTENT)) == FAILED
 
 
-def test_a_late_first_attempt_gets_a_second_beside_it() -> None:
-    """A target turned silent; its caller's objective passes while nothing comes.
+def test_late_attempt_is_hedged() -> None:
+    """A target goes silent, and the latency objective would pass without an answer.
 
-    The second attempt answers within the objective, and the first is ended, so that no
-    target works on for nobody.
+    The hedged attempt answers within the objective, and the first attempt is cancelled so that the
+    target doesn't work on an answer that nobody reads.
     """
     channel = ScriptedChannel(30.0, OK)
     assert forward(channel, route(CallKind.IDEMPOTENT)) == OK
-    assert len(set(channel.asked)) == 2
+    assert len(set(channel.instances)) == 2
     assert channel.cancelled == 1
 
 
-def test_a_call_that_may_not_be_repeated_is_never_sent_beside_itself() -> None:
+def test_non_idempotent_call_is_never_hedged() -> None:
     channel = ScriptedChannel(0.4)
     assert forward(channel, route(CallKind.NON_IDEMPOTENT)) == OK
-    assert len(channel.asked) == 1
+    assert len(channel.instances) == 1
 
 
-def test_the_routes_timeout_ends_a_call() -> None:
+def test_route_timeout_ends_call() -> None:
     channel = ScriptedChannel(30.0, 30.0)
     with pytest.raises(RequestError) as raised:
         forward(channel, route(CallKind.IDEMPOTENT, timeout_s=0.3))
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("targets", [0])
-def test_without_a_target_nothing_ran(targets: int) -> None:
+def test_call_without_targets_did_not_run(targets: int) -> None:
     with pytest.raises(RequestError) as raised:
         forward(ScriptedChannel(), route(CallKind.IDEMPOTENT), targets)
     assert (raised.value.kind, raised.value.ran) == (ErrorKind.NO_TARGET, Ran.NO)
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize(
-    ("replies", "told"),
+    ("replies", "message"),
     [
         ([9.0, 9.0, 9.0], r"no answer in time; t\d: silent for 0.\d+ s; t\d: silent for"),
         ([LOST, 9.0], r"no answer in time; t\d: reset after 0.\d+ s; t\d: silent for"),
@@ -166,28 +166,26 @@
     ],
     ids=["silent", "reset", "failed"],
 )
-def test_an_answer_that_never_came_is_explained_by_each_target(
-    replies: list[Reply], told: str
-) -> None:
-    """A caller got 504, and its target was silent until the deadline.
+def test_missing_answer_is_explained_for_each_target(replies: list[Reply], message: str) -> None:
+    """A caller gets 504 because its target was silent until the deadline.
 
-    A line that said that no target serves the route sent the engineer to the configuration and
-    the registrations, where nothing was wrong.
+    The message must name that target. "no target serves this route" would point to the
+    configuration and the registrations, which are correct.
     """
     to = route(CallKind.IDEMPOTENT, timeout_s=0.3, objective_s=0.1)
-    with pytest.raises(RequestError, match=told):
+    with pytest.raises(RequestError, match=message):
         forward(ScriptedChannel(*replies), to)
 
 
-def test_a_call_that_found_no_target_says_so() -> None:
+def test_call_without_targets_says_so() -> None:
     with pytest.raises(RequestError, match="no target serves this route"):
         forward(ScriptedChannel(), route(CallKind.IDEMPOTENT), targets=0)
 
 
-def test_calls_stop_going_to_a_target_that_turned_slow() -> None:
+def test_slow_target_stops_receiving_calls() -> None:
     """One of three targets answers ten times slower than the others for a while.
 
-    Each of its calls is saved by a second attempt elsewhere, but takes twice as long.
+    A hedged attempt elsewhere answers each of its calls, but these calls take twice as long.
     """
 
     class OneSlow(ScriptedChannel):
@@ -205,7 +203,7 @@
             now_s = asyncio.get_running_loop().time()
             call = Call(f"{number}", "POST", "/x", "h", (), b"", now_s, now_s + 2.0)
             await forwarder.forward(call, route(CallKind.IDEMPOTENT, objective_s=0.1))
-        return channel.asked
+        return channel.instances
 
-    asked = asyncio.run(body())
-    assert asked.count("t0") <= 2
+    instances = asyncio.run(body())
+    assert instances.count("t0") <= 2
--- a/tests/serving/test_stream_relay.py
+++ b/tests/serving/test_stream_relay.py
@@ -1,4 +1,4 @@
-"""Streams passed on across targets: no event lacks, none comes twice, none is made for nobody."""
+"""Streams relayed across targets: no missing or duplicate events, one run at a time."""
 
 import asyncio
 import random
@@ -25,7 +25,7 @@
 )
 from samphirecleat.serving import _stream_relay as relay_module
 
-LENGTH = 6
+EVENT_COUNT = 6
 LOST = TargetFault("reset", Ran.UNKNOWN)
 REFUSED = TargetFault("full", Ran.NO, refused=True)
 FAILED = TargetAnswer(500, (), b"failed", "sig")
@@ -33,24 +33,24 @@
 
 
 class ScriptedStreams:
-    """Each run follows its script: a number of events, then what ends it.
+    """Each run follows its script: a number of events, then how the run ends.
 
-    ``quiet`` ends a run by saying nothing more, ``skip`` leaves out an event, a fault is
-    raised, an answer stands in place of the stream. A run without a script is whole.
+    ``quiet`` sends nothing more, ``skip`` leaves out an event, a fault is raised, and an answer
+    replaces the stream. A run without a script is complete.
     """
 
     def __init__(self, *scripts: Script) -> None:
         self.scripts = list(scripts)
-        self.asked: list[tuple[str, int]] = []
+        self.requests: list[tuple[str, int]] = []
         self.open = 0
 
     async def stream(
         self, call: Call, target: Target, budget_s: float, last_event_id: int
     ) -> AsyncGenerator[TargetAnswer | StreamStart | StreamEvent, None]:
         del call, budget_s
-        assert self.open == 0, "two targets work on one stream"
-        self.asked.append((target.instance, last_event_id))
-        script = self.scripts.pop(0) if self.scripts else [LENGTH]
+        assert self.open == 0, "two runs of one stream are open at the same time"
+        self.requests.append((target.instance, last_event_id))
+        script = self.scripts.pop(0) if self.scripts else [EVENT_COUNT]
         self.open += 1
         try:
             if isinstance(script[0], TargetFault):
@@ -58,11 +58,11 @@
             if isinstance(script[0], TargetAnswer):
                 yield script[0]
                 return
-            yield StreamStart(200, [("X-First", target.instance)], len(self.asked))
+            yield StreamStart(200, [("X-First", target.instance)], len(self.requests))
             events = script[0]
             assert isinstance(events, int)
-            for number in range(last_event_id + 1, min(LENGTH, last_event_id + events) + 1):
-                yield StreamEvent(number, len(self.asked), f"id: {number}".encode())
+            for number in range(last_event_id + 1, min(EVENT_COUNT, last_event_id + events) + 1):
+                yield StreamEvent(number, len(self.requests), f"id: {number}".encode())
             match script[1:]:
                 case [TargetFault() as fault]:
                     raise fault
@@ -82,7 +82,7 @@
 def relay(
     channel: ScriptedStreams, to: Route, last_event_id: int = 0
 ) -> tuple[list[int], str, TargetAnswer | None]:
-    """Return the ids that a caller gets, how its stream ends, and an answer in its place."""
+    """Return the event IDs that a caller receives, how its stream ends, and any answer instead."""
 
     async def body() -> tuple[list[int], str, TargetAnswer | None]:
         table = TargetTable("z")
@@ -96,7 +96,7 @@
             return [], "answer", opened
         ids: list[int] = []
         end = "whole"
-        assert dict(opened.start.headers) == {"X-First": channel.asked[-1][0]}
+        assert dict(opened.start.headers) == {"X-First": channel.requests[-1][0]}
         try:
             async for event in opened.events():
                 ids.append(event.event_id)
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(
-    ("scripts", "asked_behind"),
+    ("scripts", "resumed_after"),
     [
         ([], [0]),
         ([[2, LOST]], [0, 2]),
@@ -119,7 +119,7 @@
         ([[2, LOST], [REFUSED], [REFUSED]], [0, 2, 2, 2]),
         ([[LOST], [1, LOST]], [0, 0, 1]),
         ([[REFUSED], [FAILED]], [0, 0, 0]),
-        ([[LENGTH, LOST]], [0, LENGTH]),
+        ([[EVENT_COUNT, LOST]], [0, EVENT_COUNT]),
     ],
     ids=[
         "no fault",
@@ -132,25 +132,23 @@
         "end lost",
     ],
 )
-def test_a_resumable_stream_is_whole_for_its_caller(
-    scripts: list[Script], asked_behind: list[int]
-) -> None:
-    """A target breaks a stream off, skips an event, or fails before it began.
+def test_resumable_stream_is_complete(scripts: list[Script], resumed_after: list[int]) -> None:
+    """A target breaks a stream off, skips an event, or fails before the stream begins.
 
-    Another one goes on behind the last event that the caller has, after the first run was
-    closed, so that the caller sees one whole text and no event twice.
+    Another target resumes after the last event that the caller received, once the first run is
+    closed, so that the caller gets the complete text without duplicates.
     """
     channel = ScriptedStreams(*scripts)
-    assert relay(channel, route(resumable=True)) == (list(range(1, LENGTH + 1)), "whole", None)
-    assert [behind for _, behind in channel.asked] == asked_behind
+    assert relay(channel, route(resumable=True)) == (list(range(1, EVENT_COUNT + 1)), "whole", None)
+    assert [last_event_id for _, last_event_id in channel.requests] == resumed_after
 
 
-def test_a_silent_target_is_left_for_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connection went silent in the middle of a stream; a caller leaves after two seconds."""
+def test_stream_moves_from_silent_target_to_another(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A connection goes silent in the middle of a stream; callers disconnect after two seconds."""
     monkeypatch.setattr(relay_module, "EVENT_TIMEOUT_S", 0.05)
     channel = ScriptedStreams([3, "quiet"])
-    assert relay(channel, route(resumable=True)) == (list(range(1, LENGTH + 1)), "whole", None)
-    assert len({instance for instance, _ in channel.asked}) == 2
+    assert relay(channel, route(resumable=True)) == (list(range(1, EVENT_COUNT + 1)), "whole", None)
+    assert len({instance for instance, _ in channel.requests}) == 2
 
 
 @pytest.mark.parametrize(
@@ -162,13 +160,13 @@
     ],
     ids=["may not be repeated", "attempts used up", "refused by all"],
 )
-def test_a_stream_that_cannot_be_whole_is_cut(
+def test_stream_that_cannot_be_completed_is_cut(
     resumable: bool, scripts: list[Script], ids: list[int], runs: int
 ) -> None:
-    """Ended properly, a caller would take half a text for the whole one."""
+    """If such a stream ended normally, the caller would take a partial text for the whole one."""
     channel = ScriptedStreams(*scripts)
     assert relay(channel, route(resumable=resumable)) == (ids, "cut", None)
-    assert len(channel.asked) == runs
+    assert len(channel.requests) == runs
 
 
 @pytest.mark.parametrize(
@@ -180,22 +178,22 @@
     ],
     ids=["may have run", "attempts used up", "refused by all"],
 )
-def test_a_stream_that_never_began_says_what_is_known(
+def test_stream_that_never_began_reports_whether_it_may_have_run(
     resumable: bool, scripts: list[Script], kind: ErrorKind, ran: Ran, runs: int
 ) -> None:
     channel = ScriptedStreams(*scripts)
     with pytest.raises(RequestError) as raised:
         relay(channel, route(resumable=resumable))
     assert (raised.value.kind, raised.value.ran) == (kind, ran)
-    assert len(channel.asked) == runs
+    assert len(channel.requests) == runs
 
 
-def test_a_failure_in_place_of_a_stream_is_passed_on() -> None:
+def test_failure_instead_of_stream_is_returned() -> None:
     channel = ScriptedStreams([FAILED])
     assert relay(channel, route(resumable=False)) == ([], "answer", FAILED)
 
 
-def test_a_caller_that_goes_on_itself_gets_what_follows() -> None:
+def test_caller_resumes_after_its_last_event() -> None:
     channel = ScriptedStreams()
     assert relay(channel, route(resumable=True), last_event_id=4) == ([5, 6], "whole", None)
-    assert channel.asked == [("t0", 4)]
+    assert channel.requests == [("t0", 4)]
--- a/tests/serving/test_tables.py
+++ b/tests/serving/test_tables.py
@@ -1,4 +1,4 @@
-"""Routes by longest prefix, targets by what was seen of them, registrations that lapse."""
+"""Route selection by prefix, target selection by observed behavior, expired registrations."""
 
 import pytest
 
@@ -39,7 +39,7 @@
         ("c", "/x/1", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_wins(host: str, path: str, want: str | None) -> None:
+def test_longest_prefix_of_host_wins(host: str, path: str, want: str | None) -> None:
     routes = table(
         1, route("short", "a", "/x/"), route("long", "a", "/x/y/"), route("other", "b", "/x/")
     )
@@ -47,8 +47,8 @@
     assert (found.name if found else None) == want
 
 
-def test_a_configuration_never_goes_back() -> None:
-    """Records come again after the store forgot its history; an old one must change nothing."""
+def test_older_configuration_is_ignored() -> None:
+    """Old records are delivered again after the store lost its history; they must be ignored."""
     routes = table(7, route("new", "a", "/"))
     assert not routes.put(RoutingConfig(5, [route("old", "a", "/")], {}, CallerLimits()))
     assert not routes.put(RoutingConfig(7, [route("same", "a", "/")], {}, CallerLimits()))
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(("draw", "want"), [(0.0, "a"), (0.89, "a"), (0.91, "b"), (1.0, "b")])
-def test_a_split_follows_its_shares(draw: float, want: str) -> None:
+def test_services_are_selected_by_weight(draw: float, want: str) -> None:
     assert select_services(route("r", "h", "/", ("a", 90), ("b", 10)), draw) == [want]
 
 
@@ -65,7 +65,7 @@
     return base._replace(**changes)  # type: ignore[arg-type]
 
 
-def test_a_call_goes_to_the_nearest_target_with_room_that_did_not_fail() -> None:
+def test_nearest_available_target_is_chosen() -> None:
     targets = TargetTable("z")
     near, far, gone = target("n"), target("ff", zone="y"), target("ddd", draining=True)
     targets.replace({t.instance: t for t in (near, far, gone)})
@@ -79,7 +79,7 @@
     assert targets.choose(["svc"], [], 1.5) == far
 
 
-def test_a_target_that_answers_slowly_is_passed_over() -> None:
+def test_slow_target_is_avoided() -> None:
     targets = TargetTable("z")
     slow, quick = target("s"), target("q", zone="y")
     targets.replace({t.instance: t for t in (slow, quick)})
@@ -93,13 +93,13 @@
     ("known_s", "waited_s", "slow"),
     [(0.03, 0.3, True), (None, 0.3, True), (0.03, 0.01, False), (None, 0.01, False)],
 )
-def test_a_target_that_loses_to_later_attempts_is_known_as_slow(
+def test_abandoned_attempts_mark_target_as_slow(
     known_s: float | None, waited_s: float, slow: bool
 ) -> None:
-    """A target turned slow, and each call there is answered by the second attempt beside it.
+    """A target becomes slow, and the hedged attempt answers each call that was sent to it.
 
-    If only answers counted, the target would look as quick as before, and callers would wait
-    for a second attempt again and again. A caller that leaves early tells nothing.
+    If only answers counted, the target would still look fast, and callers would wait for a hedged
+    attempt each time. A caller that disconnects early gives no evidence.
     """
     targets = TargetTable("z")
     late, quick = target("s"), target("q", zone="y")
@@ -113,10 +113,10 @@
     assert (targets.choose(["svc"], [], 1.0) == quick) is slow
 
 
-def test_what_was_slow_is_tried_again_later() -> None:
-    """A target was slow for some seconds and is quick again, but no call goes there any more.
+def test_slow_target_is_tried_again_later() -> None:
+    """A target was slow for some seconds and has recovered, but gets no calls any more.
 
-    Without forgetting it would stand idle for good while the others are full.
+    If the observation didn't expire, it would stay idle while the others are overloaded.
     """
     targets = TargetTable("z")
     slow, quick = target("s"), target("q", zone="y")
@@ -128,13 +128,13 @@
     assert targets.choose(["svc"], [], 60.0) == slow
 
 
-def test_a_registration_that_vanished_while_the_store_was_away_is_held_a_while(
+def test_vanished_registration_is_kept_during_store_outage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The store is down, and every registration lapses with it although all targets live.
+    """The store is down, and all registrations expire although the targets are alive.
 
-    Believed at once, no call would find a target for the two seconds that they take to
-    register again.
+    If they were dropped at once, no call would find a target for the two seconds that the targets
+    take to register again.
     """
     now = [100.0]
     monkeypatch.setattr("samphirecleat.serving._registry.boot_time_s", lambda: now[0])
@@ -148,7 +148,7 @@
     assert set(registry.usable_targets()) == {"a"}
 
 
-def test_a_vanished_target_is_not_used_beside_the_one_at_its_address() -> None:
+def test_vanished_target_is_dropped_once_its_address_is_reused() -> None:
     registry = TargetRegistry(lambda: 1e12)
     registry.put(target("a", address="127.0.0.1:9"))
     registry.remove("a")
@@ -156,18 +156,18 @@
     assert set(registry.usable_targets()) == {"b"}
 
 
-def test_while_the_store_is_well_a_vanished_target_is_gone_at_once() -> None:
+def test_vanished_target_is_dropped_at_once_without_store_outage() -> None:
     registry = TargetRegistry(lambda: -1e12)
     registry.put(target("a"))
     registry.remove("a")
     assert registry.usable_targets() == {}
 
 
-def test_few_calls_stay_with_targets_that_have_a_connection() -> None:
-    """A node of a large fleet has a call every second or two, and its service many targets.
+def test_few_calls_reuse_warm_connections() -> None:
+    """A node of a large fleet sends a call every second or two to a service with many targets.
 
-    Spread over all of them, each connection would be closed as idle before its next call, and
-    every call would pay for a new one.
+    Spread over all targets, each connection would be closed as idle before its next call, and every
+    call would open a new one.
     """
     targets = TargetTable("z")
     targets.replace({name: target(name) for name in ("a", "bb", "ccc", "dddd")})
@@ -182,7 +182,7 @@
     assert len(set(used)) == 1
 
 
-def test_a_busy_target_is_left_for_one_without_a_connection() -> None:
+def test_busy_target_loses_to_one_without_a_connection() -> None:
     targets = TargetTable("z")
     warm, cold = target("w"), target("cc")
     targets.replace({t.instance: t for t in (warm, cold)})
@@ -194,7 +194,7 @@
     assert targets.choose(["svc"], [], 1.0) == cold
 
 
-def test_a_connection_counts_only_while_it_is_kept() -> None:
+def test_connection_counts_until_keep_alive_expires() -> None:
     targets = TargetTable("z")
     far = target("f", zone="y")
     targets.replace({t.instance: t for t in (far, target("nn"))})
@@ -205,9 +205,9 @@
 
 
 def test_nodes_spread_over_equal_targets() -> None:
-    """Many nodes have a call each now and then, and every one takes the first of equal targets.
+    """Many nodes send an occasional call, each to its first choice among equal targets.
 
-    If that were the same one for all, it would be full while the others stand idle.
+    If all nodes chose the same one, it would be overloaded while the others are idle.
     """
     first = set()
     for number in range(40):
