--- a/samphirecleat/crashes/__init__.py
+++ b/samphirecleat/crashes/__init__.py
@@ -1,4 +1,4 @@
-"""Calls that end the targets that run them: evidence of all nodes, and a bound on retries."""
+"""Detects calls that crash their targets, across all nodes, and bounds their retries."""
 
 from ._barred import barred_error, is_barred
 from ._gossip import CrashGossip
@@ -11,11 +11,11 @@
 )
 from ._ledger import CrashLedger
 from ._request_digest import request_digest
-from ._suspect import MIN_ENDS_TO_REFUSE, MOST_ENDS, SETTLE_S, CrashVerdict, RunEnd, Suspect
+from ._suspect import MAX_ENDS, MIN_ENDS_TO_REFUSE, SETTLE_S, CrashVerdict, RunEnd, Suspect
 
 __all__ = [
     "MIN_ENDS_TO_REFUSE",
-    "MOST_ENDS",
+    "MAX_ENDS",
     "SETTLE_S",
     "CrashGuard",
     "CrashLedger",
--- a/samphirecleat/crashes/_barred.py
+++ b/samphirecleat/crashes/_barred.py
@@ -1,30 +1,30 @@
-"""What the caller of a request is told that is not sent since targets ended under it."""
+"""Errors for requests that aren't sent because targets crashed under them."""
 
 from typing import Final
 
 from ..errors import ErrorKind, RequestError
 from ._suspect import SETTLE_S, CrashVerdict
 
-# What the caller of a held request is told to wait: until what other nodes saw has arrived.
+# Retry delay for the caller of a held request: by then the reports of other nodes have arrived.
 HELD_RETRY_S: Final = SETTLE_S
 
 
 def is_barred(verdict: CrashVerdict) -> bool:
-    """Whether a request is not sent for now, or for good."""
+    """Whether a request is blocked, temporarily or permanently."""
     return verdict in (CrashVerdict.HELD, CrashVerdict.REFUSED)
 
 
-def barred_error(verdict: CrashVerdict, tried: str = "") -> RequestError:
-    """Return the error of a request that is barred; ``tried`` says what came of earlier attempts.
+def barred_error(verdict: CrashVerdict, attempts_summary: str = "") -> RequestError:
+    """Return the error for a blocked request; ``attempts_summary`` describes earlier attempts.
 
-    One that is held has not run under its id, unless an attempt before may have.
+    A held request hasn't run under its ID, unless an earlier attempt may have.
     """
     if verdict is CrashVerdict.REFUSED:
-        told = f": {tried}" if tried else ""
-        detail = f"targets end when they run this request; change it{told}"
+        attempts_suffix = f": {attempts_summary}" if attempts_summary else ""
+        detail = f"this request crashes the targets that run it; change it before retrying{attempts_suffix}"
         return RequestError(ErrorKind.CRASHES_TARGETS, detail)
     return RequestError(
         ErrorKind.CRASH_SUSPECTED,
-        "targets ended while they ran this request; whether by it is being found out",
+        "targets crashed while running this request; the cause is still being determined",
         retry_after_s=HELD_RETRY_S,
     )
--- a/samphirecleat/crashes/_gossip.py
+++ b/samphirecleat/crashes/_gossip.py
@@ -1,9 +1,9 @@
-"""What nodes tell each other of calls under which targets ended, on the heartbeats' datagrams.
+"""Spreads reports of crashes among the nodes, on the datagrams of the heartbeats.
 
-Each piece of news is passed on a bounded number of times by each node that hears it for the first
-time, and a datagram carries a few pieces at most: a flood makes news late, not datagrams large.
+Each node sends a report that is new to it a bounded number of times, and a datagram carries only a
+few reports: under load, reports are delayed but datagrams stay small.
 
-Pure: no I/O and no clock of its own.
+Pure: performs no I/O and uses no clock.
 """
 
 import math
@@ -16,51 +16,51 @@
 from ._suspect import MIN_ENDS_TO_REFUSE, RunEnd
 
 ROWS_PER_MESSAGE: Final = 4
-MOST_UNTOLD: Final = 512
-# In place of a target's name: the call was answered, and what it is suspected of is void.
+MAX_PENDING: Final = 512
+# Target name of a report that the call was answered, which clears the suspicion.
 ANSWERED: Final = ""
-# In place of a call's digest: the target ended, and no call is known to have run there.
+# Digest of a report that a target crashed without a known call.
 NO_CALL: Final = b""
 
 
 class CrashGossip:
-    """News on its way out, and what arrives; a rider of the membership's datagrams."""
+    """Outgoing and incoming reports; a rider of the membership datagrams."""
 
     def __init__(self, ledger: CrashLedger, node_count: Callable[[], int]) -> None:
-        """Tell what is in ``ledger`` and put in what is heard."""
+        """Send reports from ``ledger`` and add received ones to it."""
         self._ledger = ledger
         self._node_count = node_count
-        self._untold: OrderedDict[tuple[bytes, str], int] = OrderedDict()
+        self._pending: OrderedDict[tuple[bytes, str], int] = OrderedDict()
 
     def announce(self, digest: bytes, target: str = ANSWERED) -> None:
-        """Let news of an ended run, or of an answer, ride on the next datagrams."""
-        # Told c times to others at random by each, news misses one node in e to the c.
-        self._untold[digest, target] = 4 + math.ceil(math.log2(self._node_count() + 2) / 2)
-        while len(self._untold) > MOST_UNTOLD:
-            self._untold.popitem(last=False)
+        """Queue a report of a crashed run or of an answer for the next datagrams."""
+        # If each node sends a report c times to random nodes, it misses a fraction exp(-c) of them.
+        self._pending[digest, target] = 4 + math.ceil(math.log2(self._node_count() + 2) / 2)
+        while len(self._pending) > MAX_PENDING:
+            self._pending.popitem(last=False)
 
     def announce_end(self, digest: bytes, target: str, now_s: float) -> None:
-        """Tell of an ended run, and with it what is remembered of the call's answers."""
+        """Queue a report of a crashed run, along with any remembered answer to the call."""
         self.announce(digest, target)
         if self._ledger.recall_answer(digest, now_s):
             self.announce(digest)
 
     def load(self, message: Message, now_s: float) -> Message:
-        """Return the message with the next news put in."""
-        if not self._untold:
+        """Return the message with the next reports added."""
+        if not self._pending:
             return message
         rows: list[CrashRow] = []
-        for key in self._most_telling():
+        for key in self._next_reports():
             row = self._row(*key, now_s)
-            self._untold[key] -= 1
-            if row is None or not self._untold[key]:
-                del self._untold[key]
+            self._pending[key] -= 1
+            if row is None or not self._pending[key]:
+                del self._pending[key]
             if row is not None:
                 rows.append(row)
         return message._replace(crashes=rows)
 
     def unload(self, message: Message, now_s: float) -> None:
-        """Take in what a datagram tells, and pass on what of it is new."""
+        """Record the reports of a message, and queue those that are new."""
         for row in message.crashes:
             ended_s = now_s - row.ended_age_ms / 1000.0
             if row.mark == NO_CALL:
@@ -76,20 +76,20 @@
             if self._ledger.note_end(row.mark, end, now_s):
                 self.announce_end(row.mark, row.target, now_s)
 
-    def _most_telling(self) -> list[tuple[bytes, str]]:
-        """Return the next news: first of calls with the most ends, then what was told least."""
+    def _next_reports(self) -> list[tuple[bytes, str]]:
+        """Return the next reports: calls with the most crashes first, then the least sent ones."""
         suspects = self._ledger.suspects
 
         def rank(key: tuple[bytes, str]) -> tuple[int, int]:
             suspect = suspects.get(key[0])
-            # What speaks for calls goes before what speaks against all but the worst of them.
+            # Reports that clear calls precede those against all but the worst suspects.
             ends = len(suspect.ends) if suspect is not None else MIN_ENDS_TO_REFUSE - 1
-            return (-ends, -self._untold[key])
+            return (-ends, -self._pending[key])
 
-        return sorted(self._untold, key=rank)[:ROWS_PER_MESSAGE]
+        return sorted(self._pending, key=rank)[:ROWS_PER_MESSAGE]
 
     def _row(self, digest: bytes, target: str, now_s: float) -> CrashRow | None:
-        """Return what is to be told, None for what is no longer so."""
+        """Return the row of a report, None if the report is obsolete."""
         if digest == NO_CALL:
             ended_s = self._ledger.ended_targets.get(target)
             if ended_s is None:
--- a/samphirecleat/crashes/_guard.py
+++ b/samphirecleat/crashes/_guard.py
@@ -1,4 +1,4 @@
-"""Watches runs that are cut off, finds out whether their target ended, and bars what ends them."""
+"""Checks whether a target that cut a connection crashed, and blocks calls that crash targets."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Collection, Sequence
@@ -11,18 +11,18 @@
 from ._ledger import CrashLedger
 from ._suspect import CrashVerdict, RunEnd
 
-# A target that still listens right after it cut a call may have started again at once. Its
-# registration says so within this time: three of its heartbeats, and the way to this node.
-DOUBT_KEPT_S: Final = 6.0
-MOST_DOUBTS: Final = 1024
-# Of the other targets of a service, so many are looked at before a call is blamed for the ends.
-OTHERS_LOOKED_AT: Final = 3
-# One look at a target serves every call that it cut.
-SAME_LOOK_S: Final = 0.25
+# A target that still listens right after it cut a call may have restarted at once. Its registration
+# shows this within three of its heartbeats plus the latency to this node.
+UNCONFIRMED_CUT_TTL_S: Final = 6.0
+MAX_UNCONFIRMED_CUTS: Final = 1024
+# Number of other targets of the service that are probed before a call is blamed.
+MAX_PROBED_TARGETS: Final = 3
+# A probe of a target serves all calls that the target cut within this time.
+PROBE_REUSE_S: Final = 0.25
 
 
 class TargetStart(NamedTuple):
-    """One start of a target; the time tells two starts of one instance apart."""
+    """One start of a target; the time distinguishes two starts of one instance."""
 
     instance: str
     address: str
@@ -30,12 +30,12 @@
 
     @property
     def name(self) -> str:
-        """What logs and other nodes call it."""
+        """Name of this start in logs and in reports to other nodes."""
         return f"{self.instance}@{self.started_at_ms}"
 
 
 class RegistrationState(Enum):
-    """What a registration says of one start of a target."""
+    """State of one start of a target according to its registration."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -43,21 +43,21 @@
 
 
 class EvidenceRecorder(Protocol):
-    """Writes what is known of a call where it lasts."""
+    """Persists the evidence on a call."""
 
     def record(self, digest: bytes, *, own: bool) -> None:
-        """Write soon; a node whose ``own`` evidence it is goes before the others."""
+        """Schedule a write; a node whose ``own`` evidence it is writes before the others."""
         ...
 
 
 class NullEvidenceRecorder:
-    """Writes nothing: what is known lives as long as any node that knows it."""
+    """Persists nothing; evidence lasts as long as any node that has it."""
 
     def record(self, digest: bytes, *, own: bool) -> None:
-        """Leave the call to the nodes' memory."""
+        """Do nothing."""
 
 
-class _Doubt(NamedTuple):
+class _Cut(NamedTuple):
     digest: bytes
     start: TargetStart
     begun_s: float
@@ -65,52 +65,54 @@
 
 
 class CrashGuard:
-    """One node's part in keeping a call from ending one target after another.
+    """Keeps calls from crashing one target after another, together with the other nodes.
 
-    A cut connection is no evidence by itself: the link, a pause of this node or a faulty target
-    cuts too. It counts once the target is known to have ended, and had not said that it leaves.
+    A cut connection alone is no evidence: a network fault, a pause of this node or a faulty target
+    also cuts connections. It counts once the target is known to have crashed without having
+    announced that it is leaving.
     """
 
     def __init__(
         self,
         node_id: str,
         ledger: CrashLedger,
-        news: CrashGossip,
+        gossip: CrashGossip,
         listens: Callable[[str], Awaitable[bool]],
         registered: Callable[[TargetStart], RegistrationState],
         others: Callable[[TargetStart], Sequence[TargetStart]],
         recorder: EvidenceRecorder,
         observer: Observer,
     ) -> None:
-        """Ask ``listens`` whether anything accepts connections at an address.
+        """Take the node's view of its targets.
 
-        ``others`` are the targets that serve the same as one.
+        ``listens`` tells whether anything accepts connections at an address. ``registered`` returns
+        the registration state of a target, and ``others`` the other targets of its service.
         """
         self._node_id = node_id
         self._ledger = ledger
-        self._news = news
+        self._gossip = gossip
         self._listens = listens
         self._registered = registered
         self._others = others
         self._observer = observer
-        self._words = observer.log("crashes")
-        self._doubts: list[_Doubt] = []
-        self._met: frozenset[str] = frozenset()
-        self._looks: dict[TargetStart, tuple[float, asyncio.Task[bool]]] = {}
+        self._log = observer.log("crashes")
+        self._unconfirmed_cuts: list[_Cut] = []
+        self._known_nodes: frozenset[str] = frozenset()
+        self._probes: dict[TargetStart, tuple[float, asyncio.Task[bool]]] = {}
         self._recorder = recorder
 
     @property
     def has_suspects(self) -> bool:
-        """Whether any call is suspected; if none is, digests need not be made."""
+        """Whether any call is suspect; if not, callers needn't compute digests."""
         return bool(self._ledger.suspects)
 
     def verdict(self, request_id: str, digest: bytes) -> CrashVerdict:
-        """Return what may be done with a call now; what bars it is logged."""
+        """Return whether a call may be sent now; log and count it if it is blocked."""
         now_s = asyncio.get_running_loop().time()
         verdict = self._ledger.verdict(digest, now_s)
         if is_barred(verdict):
             self._observer.counters[f"crash_calls_{verdict.value}"] += 1
-            self._words.warning(
+            self._log.warning(
                 "request=%s call=%s %s evidence=%s",
                 request_id,
                 digest.hex(),
@@ -127,7 +129,7 @@
         return is_barred(self._ledger.verdict(digest, now_s))
 
     def record_answer(self, request_id: str, digest: bytes) -> None:
-        """Note a target's answer to a call, which may be suspected."""
+        """Record a target's answer to a call, which may be suspect."""
         now_s = asyncio.get_running_loop().time()
         self._ledger.remember_answer(digest, now_s)
         suspect = self._ledger.suspects.get(digest)
@@ -135,24 +137,24 @@
             return
         ends = len(suspect.ends)
         if self._ledger.note_answer(digest, now_s):
-            self._words.info(
+            self._log.info(
                 "request=%s call=%s answered cleared_ends=%d", request_id, digest.hex(), ends
             )
-            self._news.announce(digest)
+            self._gossip.announce(digest)
             self._recorder.record(digest, own=True)
 
     async def record_cut(
         self, request_id: str, digest: bytes, start: TargetStart, begun_s: float, detail: str
     ) -> None:
-        """Take a run that its target's end of the connection cut off before its answer.
+        """Record a run whose connection the target closed before the answer was complete.
 
-        Returns once it is known whether the target ended, or may have.
+        Return once it is known whether the target crashed, or whether it may have.
         """
         cut_s = asyncio.get_running_loop().time()
         registered = self._registered(start)
-        listens = registered is RegistrationState.READY and await self._look(start, cut_s)
+        listens = registered is RegistrationState.READY and await self._probe(start, cut_s)
         counts = registered is RegistrationState.READY and not listens
-        self._words.warning(
+        self._log.warning(
             "request=%s call=%s target=%s cut after=%.3f s registered=%s listens=%s counts=%s "
             "detail=%s",
             request_id,
@@ -164,44 +166,46 @@
             counts,
             detail,
         )
-        doubt = _Doubt(digest, start, begun_s, cut_s)
+        cut = _Cut(digest, start, begun_s, cut_s)
         if counts:
-            self._count(doubt)
+            self._count_end(cut)
             if self._ledger.awaits_verdict(digest):
-                await self._look_at_others(digest, start)
+                await self._probe_others(digest, start)
         elif listens:
-            self._doubts.append(doubt)
-            del self._doubts[:-MOST_DOUBTS]
+            self._unconfirmed_cuts.append(cut)
+            del self._unconfirmed_cuts[:-MAX_UNCONFIRMED_CUTS]
 
     def review(self, live_nodes: Collection[str]) -> None:
-        """Settle doubts by the registrations, refuse where the evidence is complete, forget.
+        """Resolve unconfirmed cuts, refuse calls with sufficient evidence, and drop old entries.
 
-        ``live_nodes`` are incarnations. What is refused is told again when one of them is new: it
-        has heard nothing of what was told before it came.
+        ``live_nodes`` are incarnations. If one of them is new, all refused calls are announced
+        again, since it has missed the earlier reports.
         """
         now_s = asyncio.get_running_loop().time()
-        if not self._met.issuperset(live_nodes):
-            self._tell_newcomers()
-        self._met = frozenset(live_nodes)
-        doubts, self._doubts = self._doubts, []
-        for doubt in doubts:
-            match self._registered(doubt.start):
+        if not self._known_nodes.issuperset(live_nodes):
+            self._announce_refused()
+        self._known_nodes = frozenset(live_nodes)
+        unconfirmed_cuts, self._unconfirmed_cuts = self._unconfirmed_cuts, []
+        for cut in unconfirmed_cuts:
+            match self._registered(cut.start):
                 case RegistrationState.GONE:
-                    self._words.info(
-                        "call=%s target=%s ended: its registration is gone after=%.3f s",
-                        doubt.digest.hex(),
-                        doubt.start.name,
-                        now_s - doubt.cut_s,
+                    self._log.info(
+                        "call=%s target=%s ended: registration removed after=%.3f s",
+                        cut.digest.hex(),
+                        cut.start.name,
+                        now_s - cut.cut_s,
                     )
-                    self._count(doubt)
-                case RegistrationState.READY if now_s - doubt.cut_s <= DOUBT_KEPT_S:
-                    self._doubts.append(doubt)
-        self._looks = {
-            start: look for start, look in self._looks.items() if now_s - look[0] <= SAME_LOOK_S
+                    self._count_end(cut)
+                case RegistrationState.READY if now_s - cut.cut_s <= UNCONFIRMED_CUT_TTL_S:
+                    self._unconfirmed_cuts.append(cut)
+        self._probes = {
+            start: probe
+            for start, probe in self._probes.items()
+            if now_s - probe[0] <= PROBE_REUSE_S
         }
         for digest in self._ledger.decide(now_s):
             self._observer.counters["crash_calls_barred"] += 1
-            self._words.error(
+            self._log.error(
                 "call=%s barred evidence=%s", digest.hex(), self.evidence(digest, now_s)
             )
             ends = self._ledger.suspects[digest].ends.values()
@@ -209,49 +213,52 @@
         for digest in self._ledger.forget(now_s):
             self._recorder.record(digest, own=False)
 
-    def _tell_newcomers(self) -> None:
+    def _announce_refused(self) -> None:
         for digest, suspect in self._ledger.suspects.items():
             if suspect.refused:
                 for target in suspect.ends:
-                    self._news.announce(digest, target)
+                    self._gossip.announce(digest, target)
 
     def evidence(self, digest: bytes, now_s: float) -> str:
-        """Return each counted end: its target, the node that saw it, and how old it is."""
+        """Return each counted crash: its target, the observing node and its age."""
         suspect = self._ledger.suspects.get(digest)
         if suspect is None:
             return "none"
         ends = sorted(suspect.ends.values(), key=lambda end: end.ended_s)
         return ",".join(f"{end.target}/{end.node}/{now_s - end.ended_s:.1f}s" for end in ends)
 
-    def _count(self, doubt: _Doubt) -> None:
+    def _count_end(self, cut: _Cut) -> None:
         now_s = asyncio.get_running_loop().time()
-        name = doubt.start.name
-        end = RunEnd(name, doubt.begun_s, doubt.cut_s, self._node_id)
-        if not self._ledger.note_end(doubt.digest, end, now_s):
+        name = cut.start.name
+        end = RunEnd(name, cut.begun_s, cut.cut_s, self._node_id)
+        if not self._ledger.note_end(cut.digest, end, now_s):
             return
         self._observer.counters["crash_ends_seen"] += 1
-        self._news.announce_end(doubt.digest, name, now_s)
-        self._recorder.record(doubt.digest, own=True)
+        self._gossip.announce_end(cut.digest, name, now_s)
+        self._recorder.record(cut.digest, own=True)
 
-    async def _look_at_others(self, digest: bytes, start: TargetStart) -> None:
-        """Find out whether targets ended that did not run a call, as when all of them go."""
+    async def _probe_others(self, digest: bytes, start: TargetStart) -> None:
+        """Check whether targets crashed that didn't run the call, as when a whole zone fails."""
         ended = self._ledger.ended_targets
         sample = [other for other in self._others(start) if other.name not in ended]
-        sample = sample[:OTHERS_LOOKED_AT]
+        sample = sample[:MAX_PROBED_TARGETS]
         now_s = asyncio.get_running_loop().time()
-        listening = await asyncio.gather(*(self._look(other, now_s) for other in sample))
+        listening = await asyncio.gather(*(self._probe(other, now_s) for other in sample))
         gone = [other.name for other, is_up in zip(sample, listening, strict=True) if not is_up]
         for name in gone:
             if self._ledger.note_ended_target(name, now_s, now_s):
-                self._news.announce(NO_CALL, name)
-        self._words.info(
-            "call=%s others looked_at=%d ended=%s", digest.hex(), len(sample), ",".join(gone)
+                self._gossip.announce(NO_CALL, name)
+        self._log.info(
+            "call=%s probed other targets looked_at=%d ended=%s",
+            digest.hex(),
+            len(sample),
+            ",".join(gone),
         )
 
-    async def _look(self, start: TargetStart, now_s: float) -> bool:
-        """Whether the target still listens; calls that were cut together share one look."""
-        known = self._looks.get(start)
-        if known is None or now_s - known[0] > SAME_LOOK_S:
+    async def _probe(self, start: TargetStart, now_s: float) -> bool:
+        """Whether the target still listens; calls that were cut together share one probe."""
+        known = self._probes.get(start)
+        if known is None or now_s - known[0] > PROBE_REUSE_S:
             known = (now_s, asyncio.ensure_future(self._listens(start.address)))
-            self._looks[start] = known
+            self._probes[start] = known
         return await asyncio.shield(known[1])
--- a/samphirecleat/crashes/_request_digest.py
+++ b/samphirecleat/crashes/_request_digest.py
@@ -1,4 +1,4 @@
-"""What makes two calls the same request: a short digest that survives a new request id."""
+"""Identifies a request independently of its request ID by a short digest."""
 
 import hashlib
 from collections.abc import Iterable
@@ -8,20 +8,20 @@
 
 
 def request_digest(method: str, host: str, raw_path: str, caller: str, body: bytes) -> bytes:
-    """Return the same digest for every sending of one request, another for any other.
+    """Return a digest that is equal for repetitions of a request and differs for other requests.
 
-    Its method, host, path with query, caller and body count; its id and its headers do not.
-    ``caller`` keeps a request apart from the same one of somebody else.
+    The digest covers method, host without port, path with query, caller and body, but neither
+    request ID nor headers. Including ``caller`` separates identical requests of different callers.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
-    for part in _parts(method.upper(), host.partition(":")[0].lower(), raw_path, caller):
+    for part in _length_prefixed(method.upper(), host.partition(":")[0].lower(), raw_path, caller):
         digest.update(part)
     digest.update(body)
     return digest.digest()
 
 
-def _parts(*texts: str) -> Iterable[bytes]:
-    """Yield each text behind its length, so that no two lists of texts read alike."""
+def _length_prefixed(*texts: str) -> Iterable[bytes]:
+    """Yield each text prefixed with its length, so that different lists never encode alike."""
     for text in texts:
         encoded = text.encode("utf-8", "surrogateescape")
         yield len(encoded).to_bytes(4)
--- a/samphirecleat/crashes/_suspect.py
+++ b/samphirecleat/crashes/_suspect.py
@@ -1,4 +1,4 @@
-"""One call under which targets ended: the ended runs, and what follows from them."""
+"""A call under which targets crashed: the crashed runs and what follows from them."""
 
 import math
 from collections.abc import Callable, Collection, Iterable, Sequence
@@ -6,23 +6,24 @@
 from enum import Enum
 from typing import Final, NamedTuple
 
-# A call that ends its targets may end so many; what follows are retries.
+# Crashes that are needed before a call can be refused; sends after these count as retries.
 MIN_ENDS_TO_REFUSE: Final = 3
-# So many, of which so many after the first burst, refuse a call whatever else went on. Two of the
-# three retries that the bound allows are used then; the third may be under way at another node.
-MOST_ENDS: Final = 5
-MOST_LATER_ENDS: Final = 2
-# Times that two nodes saw are this far apart at most: what a datagram takes between them.
+# This many crashes, including this many after the first burst, refuse a call regardless of other
+# crashes. At that point two of the three allowed retries are used, and the third may be in progress
+# at another node.
+MAX_ENDS: Final = 5
+MAX_LATER_ENDS: Final = 2
+# Maximum difference between two nodes' times of one event: the latency of a datagram.
 CLOCK_SLACK_S: Final = 0.03
-# What other nodes saw has arrived this long after it happened. Runs that began so long after the
-# last end are another burst: what ended the targets before is over.
+# Time within which other nodes' reports of an event arrive. A run that began at least this long
+# after the last crash belongs to a new burst: the earlier cause of crashes has passed.
 SETTLE_S: Final = 1.0
 
 
 class RunEnd(NamedTuple):
-    """A run that ended because its target did; times are of this node's clock.
+    """A run that ended because its target crashed; times are on this node's clock.
 
-    ``target`` names one start of a target. ``node`` saw the end.
+    ``target`` identifies one start of a target. ``node`` observed the crash.
     """
 
     target: str
@@ -32,10 +33,10 @@
 
 
 class CrashVerdict(Enum):
-    """What may be done with a call.
+    """Whether a call may be sent.
 
-    A SUSPECT is sent to one target at a time. One that is HELD is not sent while what other nodes
-    saw may still arrive. One that is REFUSED is not sent any more.
+    A SUSPECT is sent to one target at a time. A HELD call isn't sent while reports of other nodes
+    may still arrive. A REFUSED call isn't sent any more.
     """
 
     CLEAR = "clear"
@@ -46,10 +47,10 @@
 
 @dataclass
 class Suspect:
-    """A call under which targets ended since it was last answered.
+    """A call under which targets crashed since its last answer.
 
-    ``answered_s`` is its newest known answer. ``fresh`` is set once an end became known that is
-    not from before this process.
+    ``answered_s`` is the time of its latest known answer. ``fresh`` is set once a crash was
+    reported that didn't happen before this process started.
     """
 
     ends: dict[str, RunEnd] = field(default_factory=dict)
@@ -59,54 +60,61 @@
     seen_at_s: float = -math.inf
 
     def last_end_s(self) -> float:
-        """Return when the newest known end was, -inf without any."""
+        """Return the time of the latest known crash, -inf if there is none."""
         return max((end.ended_s for end in self.ends.values()), default=-math.inf)
 
 
-def may_end_its_targets(suspect: Suspect) -> bool:
-    """Whether the ends of a call have the shape of one that ends its targets.
+def may_crash_targets(suspect: Suspect) -> bool:
+    """Whether the crashes under a call follow the pattern of a call that crashes its targets.
 
-    Targets that end together for another reason take a popular call down at several of them at
-    once, but only a call that ends its targets ends the next one too, in turn.
+    If targets crash together for another reason, several of them run a popular call at that time.
+    Only a call that crashes its targets also crashes the next target that it is retried on.
     """
-    return suspect.fresh and len(suspect.ends) >= MIN_ENDS_TO_REFUSE and _rounds(suspect.ends) > 1
+    return (
+        suspect.fresh
+        and len(suspect.ends) >= MIN_ENDS_TO_REFUSE
+        and _count_sequential_ends(suspect.ends) > 1
+    )
 
 
-def ends_its_targets(
+def crashes_targets(
     suspect: Suspect,
     others: Iterable[Suspect],
-    is_calm: Callable[[Suspect, Sequence[RunEnd]], bool],
+    is_isolated: Callable[[Suspect, Sequence[RunEnd]], bool],
 ) -> bool:
-    """Whether a call that may end its targets, and nothing else, did so.
+    """Whether a call is the only plausible cause of the crashes under it.
 
-    One that was answered shortly before has to do so once more when all is calm again: a popular
-    call is always under way, also at targets that end in turn for another reason. ``is_calm`` says
-    whether no target ended without this call near the times of some ends. ``others`` ran beside
-    it; one that ran at each of these ends may as well be the cause.
+    A call that was answered shortly before must crash a target again in a later burst: a popular
+    call is always running somewhere, including on targets that crash one after another for another
+    reason. ``is_isolated`` tells whether no target crashed without this call at about the times of
+    the given crashes. A call among ``others`` that ran at each of these crashes may equally be the
+    cause.
     """
-    if not may_end_its_targets(suspect):
+    if not may_crash_targets(suspect):
         return False
     bursts = _bursts(suspect.ends)
     later_ends = len(suspect.ends) - len(bursts[0])
-    if later_ends >= MOST_LATER_ENDS and len(suspect.ends) >= MOST_ENDS:
+    if later_ends >= MAX_LATER_ENDS and len(suspect.ends) >= MAX_ENDS:
         return True
     if len(bursts) == 1 and suspect.answered_s > -math.inf:
         return False
-    telling = bursts[-1]
-    names = {end.target for end in telling}
-    tied = any(other is not suspect and names <= other.ends.keys() for other in others)
-    return not tied and is_calm(suspect, telling)
+    latest_burst = bursts[-1]
+    target_starts = {end.target for end in latest_burst}
+    has_other_cause = any(
+        other is not suspect and target_starts <= other.ends.keys() for other in others
+    )
+    return not has_other_cause and is_isolated(suspect, latest_burst)
 
 
-def _in_order(ends: dict[str, RunEnd]) -> Sequence[RunEnd]:
+def _by_time(ends: dict[str, RunEnd]) -> Sequence[RunEnd]:
     return sorted(ends.values(), key=lambda end: end.ended_s)
 
 
-def _rounds(ends: dict[str, RunEnd]) -> int:
-    """Return how many ends followed each other: runs side by side count once."""
+def _count_sequential_ends(ends: dict[str, RunEnd]) -> int:
+    """Return the number of sequential crashes; crashes of concurrent runs count once."""
     count = 0
     last: RunEnd | None = None
-    for end in _in_order(ends):
+    for end in _by_time(ends):
         if last is None or end.begun_s >= last.ended_s + _slack_s({end.node, last.node}):
             count += 1
             last = end
@@ -118,9 +126,9 @@
 
 
 def _bursts(ends: dict[str, RunEnd]) -> Sequence[Sequence[RunEnd]]:
-    """Return the ends in groups, each begun when all was calm after the one before."""
+    """Group the crashes; a group begins with a run that started after the last one had settled."""
     groups: list[list[RunEnd]] = []
-    for end in _in_order(ends):
+    for end in _by_time(ends):
         if groups and end.begun_s < groups[-1][-1].ended_s + SETTLE_S:
             groups[-1].append(end)
         else:
--- a/tests/crashes/__init__.py
+++ b/tests/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what keeps a call from ending one target after another."""
+"""Tests of the detection of calls that crash their targets."""
--- a/tests/crashes/guards.py
+++ b/tests/crashes/guards.py
@@ -1,4 +1,4 @@
-"""A guard with stand-ins for what a node gives it, for several test packages."""
+"""A crash guard with test doubles for the node's parts, shared by several test packages."""
 
 from collections.abc import Awaitable, Callable, Sequence
 
@@ -14,35 +14,35 @@
 from samphirecleat.observe import Observer
 
 
-async def ended(_address: str) -> bool:
-    """Say that nothing listens at any address."""
+async def nothing_listens(_address: str) -> bool:
+    """Report that nothing listens at any address."""
     return False
 
 
-def ready(_start: TargetStart) -> RegistrationState:
-    """Say that every target is registered for work."""
+def always_ready(_start: TargetStart) -> RegistrationState:
+    """Report that every target is registered and ready."""
     return RegistrationState.READY
 
 
 def no_others(_start: TargetStart) -> Sequence[TargetStart]:
-    """Say that a target is the only one of its service."""
+    """Report that a target is the only one of its service."""
     return ()
 
 
 def make_guard(
     ledger: CrashLedger,
-    listens: Callable[[str], Awaitable[bool]] = ended,
-    registered: Callable[[TargetStart], RegistrationState] = ready,
+    listens: Callable[[str], Awaitable[bool]] = nothing_listens,
+    registered: Callable[[TargetStart], RegistrationState] = always_ready,
     others: Callable[[TargetStart], Sequence[TargetStart]] = no_others,
     *,
-    news: CrashGossip | None = None,
+    gossip: CrashGossip | None = None,
     recorder: EvidenceRecorder | None = None,
 ) -> CrashGuard:
-    """Return the guard of a node n1, whose targets end with every call that they cut off."""
+    """Return the guard of node n1; by default each cut means that the target crashed."""
     return CrashGuard(
         "n1",
         ledger,
-        news or CrashGossip(ledger, lambda: 1),
+        gossip or CrashGossip(ledger, lambda: 1),
         listens,
         registered,
         others,
--- a/tests/crashes/test_gossip.py
+++ b/tests/crashes/test_gossip.py
@@ -1,8 +1,8 @@
-"""Evidence on heartbeats: what one node saw reaches the others, in few bytes."""
+"""Crash reports on heartbeats: they reach the other nodes within a small message size."""
 
 from samphirecleat.blackboard import Member
 from samphirecleat.crashes import CrashGossip, CrashLedger, CrashVerdict, RunEnd
-from samphirecleat.crashes._gossip import MOST_UNTOLD, ROWS_PER_MESSAGE
+from samphirecleat.crashes._gossip import MAX_PENDING, ROWS_PER_MESSAGE
 from samphirecleat.peers import HeartbeatCodec, MemberRow, Message, MessageKind
 
 CALL = b"\x07" * 12
@@ -11,65 +11,65 @@
 
 
 class Node:
-    """What one node knows and tells."""
+    """The crash ledger and gossip of one node."""
 
     def __init__(self, node_count: int = 9) -> None:
         self.ledger = CrashLedger()
-        self.news = CrashGossip(self.ledger, lambda: node_count)
+        self.gossip = CrashGossip(self.ledger, lambda: node_count)
 
-    def see(self, digest: bytes, target: str, begun_s: float, ended_s: float) -> None:
+    def observe_crash(self, digest: bytes, target: str, begun_s: float, ended_s: float) -> None:
         if self.ledger.note_end(digest, RunEnd(target, begun_s, ended_s, "n"), ended_s):
-            self.news.announce(digest, target)
+            self.gossip.announce(digest, target)
 
 
-def passed_on(message: Message) -> Message:
+def encode_and_decode(message: Message) -> Message:
     codec = HeartbeatCodec("key")
     return codec.unpack(codec.pack(message))
 
 
-def test_ends_that_three_nodes_saw_refuse_the_call_at_a_fourth() -> None:
-    seers, fourth = [Node(), Node(), Node()], Node()
-    for number, node in enumerate(seers):
-        node.see(CALL, f"t{number}", number * 1.0, number + 0.1)
-        fourth.news.unload(passed_on(node.news.load(EMPTY, 3.0)), 3.0)
+def test_crashes_seen_by_three_nodes_refuse_the_call_at_a_fourth() -> None:
+    observers, fourth = [Node(), Node(), Node()], Node()
+    for number, node in enumerate(observers):
+        node.observe_crash(CALL, f"t{number}", number * 1.0, number + 0.1)
+        fourth.gossip.unload(encode_and_decode(node.gossip.load(EMPTY, 3.0)), 3.0)
     assert fourth.ledger.verdict(CALL, 9.0) is CrashVerdict.REFUSED
     evidence = fourth.ledger.suspects[CALL].ends["t0"]
     assert (evidence.node, round(evidence.ended_s, 2)) == ("n", 0.1)
 
 
-def test_an_answer_that_one_node_saw_clears_the_call_at_another() -> None:
+def test_answer_seen_by_one_node_clears_the_call_at_another() -> None:
     one, other = Node(), Node()
     for node in (one, other):
-        node.see(CALL, "t", 0.0, 0.1)
+        node.observe_crash(CALL, "t", 0.0, 0.1)
     assert one.ledger.note_answer(CALL, 1.0)
-    one.news.announce(CALL)
+    one.gossip.announce(CALL)
     for _ in range(2):
-        other.news.unload(passed_on(one.news.load(EMPTY, 2.0)), 2.0)
+        other.gossip.unload(encode_and_decode(one.gossip.load(EMPTY, 2.0)), 2.0)
     assert other.ledger.verdict(CALL, 2.0) is CrashVerdict.CLEAR
 
 
-def test_news_is_passed_on_a_bounded_number_of_times() -> None:
+def test_report_is_sent_a_bounded_number_of_times() -> None:
     node = Node()
-    node.see(CALL, "t", 0.0, 0.1)
-    told = sum(len(node.news.load(EMPTY, 1.0).crashes) for _ in range(100))
-    assert 4 <= told <= 8
-    assert node.news.load(EMPTY, 1.0) is EMPTY
+    node.observe_crash(CALL, "t", 0.0, 0.1)
+    sent_rows = sum(len(node.gossip.load(EMPTY, 1.0).crashes) for _ in range(100))
+    assert 4 <= sent_rows <= 8
+    assert node.gossip.load(EMPTY, 1.0) is EMPTY
 
 
-def test_a_flood_of_suspects_makes_no_datagram_large_and_does_not_hide_the_worst() -> None:
-    """Every target of a busy service ends with hundreds of calls, one of which ended them."""
+def test_datagrams_stay_small_and_report_the_worst_suspect_first() -> None:
+    """Each target of a busy service crashes with hundreds of calls, one of which is the cause."""
     node = Node(390)
-    for number in range(2 * MOST_UNTOLD):
-        node.see(b"%12d" % number, f"t{number % 8}", 0.0, 0.1)
+    for number in range(2 * MAX_PENDING):
+        node.observe_crash(b"%12d" % number, f"t{number % 8}", 0.0, 0.1)
     for target in ("a", "b"):
-        node.see(CALL, target, 0.2, 0.3)
-    message = node.news.load(EMPTY, 1.0)
+        node.observe_crash(CALL, target, 0.2, 0.3)
+    message = node.gossip.load(EMPTY, 1.0)
     assert len(message.crashes) == ROWS_PER_MESSAGE
     assert [row.mark for row in message.crashes[:2]] == [CALL, CALL]
     assert len(HeartbeatCodec("key").pack(message)) < 600
 
 
-def test_a_datagram_without_news_is_read_by_a_node_that_knows_no_such_news() -> None:
-    """Nodes are replaced one after the other, and old ones must go on hearing from new ones."""
+def test_message_without_reports_has_the_old_encoding() -> None:
+    """During a rolling upgrade, older nodes must still read the messages of newer ones."""
     codec = HeartbeatCodec("key")
     assert codec.pack(EMPTY)[16:] == codec._encoder.encode(EMPTY[:-1])
--- a/tests/crashes/test_guard.py
+++ b/tests/crashes/test_guard.py
@@ -1,4 +1,4 @@
-"""What counts as the end of a target, and what is logged of it."""
+"""Detection of target crashes, and what is logged about them."""
 
 import asyncio
 import logging
@@ -21,8 +21,8 @@
 CALL = b"\x01" * 12
 
 
-class Recorder:
-    """Keeps what is to be written."""
+class FakeRecorder:
+    """Keeps the calls of ``record`` in memory."""
 
     def __init__(self) -> None:
         self.recorded: list[tuple[bytes, bool]] = []
@@ -31,28 +31,28 @@
         self.recorded.append((digest, own))
 
 
-class World:
-    """Targets as they are: whether they listen, and what their registrations say."""
+class GuardFixture:
+    """A guard over simulated targets: whether they listen, and their registration states."""
 
     def __init__(self) -> None:
         self.listening: set[str] = set()
         self.registered: dict[str, RegistrationState] = {}
-        self.looks: list[str] = []
+        self.probed: list[str] = []
         self.others: list[TargetStart] = []
         self.ledger = CrashLedger()
-        self.recorder = Recorder()
-        self.news = CrashGossip(self.ledger, lambda: 3)
+        self.recorder = FakeRecorder()
+        self.gossip = CrashGossip(self.ledger, lambda: 3)
         self.guard = make_guard(
             self.ledger,
             self._listens,
             lambda start: self.registered.get(start.instance, RegistrationState.READY),
             lambda start: [o for o in self.others if o != start],
-            news=self.news,
+            gossip=self.gossip,
             recorder=self.recorder,
         )
 
     async def _listens(self, address: str) -> bool:
-        self.looks.append(address)
+        self.probed.append(address)
         await asyncio.sleep(0)
         return address in self.listening
 
@@ -67,9 +67,9 @@
         return set() if suspect is None else set(suspect.ends)
 
 
-def play(body: Callable[[World], Awaitable[None]]) -> None:
+def run_with_fixture(body: Callable[[GuardFixture], Awaitable[None]]) -> None:
     async def main() -> None:
-        await body(World())
+        await body(GuardFixture())
 
     asyncio.run(main())
 
@@ -84,19 +84,19 @@
     ],
     ids=["crashed", "only the connection", "left as it said", "left without a word"],
 )
-def test_a_cut_counts_only_if_the_target_ended_unplanned(
+def test_cut_counts_only_if_target_crashed(
     listens: bool, registered: RegistrationState, ends: set[str]
 ) -> None:
-    """Links, faulty targets and releases cut connections too; a call is not to blame for them."""
+    """Network faults, faulty targets and releases cut connections too; the call isn't the cause."""
 
-    async def body(world: World) -> None:
-        world.listening = {"t:1"} if listens else set()
-        world.registered["t"] = registered
-        await world.cut("t")
-        assert world.ends == ends
-        assert bool(world.recorder.recorded) == bool(ends)
+    async def body(fixture: GuardFixture) -> None:
+        fixture.listening = {"t:1"} if listens else set()
+        fixture.registered["t"] = registered
+        await fixture.cut("t")
+        assert fixture.ends == ends
+        assert bool(fixture.recorder.recorded) == bool(ends)
 
-    play(body)
+    run_with_fixture(body)
 
 
 @pytest.mark.parametrize(
@@ -107,91 +107,91 @@
         (RegistrationState.READY, set()),
     ],
 )
-def test_a_target_that_listens_again_at_once_is_judged_by_its_registration(
+def test_restarted_target_is_judged_by_its_registration(
     monkeypatch: pytest.MonkeyPatch, after: RegistrationState, ends: set[str]
 ) -> None:
-    """A supervisor starts a crashed target again before anybody can look."""
-    monkeypatch.setattr(guard_module, "DOUBT_KEPT_S", 0.0)
+    """A supervisor restarts a crashed target before it can be probed."""
+    monkeypatch.setattr(guard_module, "UNCONFIRMED_CUT_TTL_S", 0.0)
 
-    async def body(world: World) -> None:
-        world.listening = {"t:1"}
-        await world.cut("t")
-        world.registered["t"] = after
-        world.guard.review([])
-        assert world.ends == ends
-        world.registered["t"] = RegistrationState.GONE
-        world.guard.review([])
-        assert world.ends == ends
+    async def body(fixture: GuardFixture) -> None:
+        fixture.listening = {"t:1"}
+        await fixture.cut("t")
+        fixture.registered["t"] = after
+        fixture.guard.review([])
+        assert fixture.ends == ends
+        fixture.registered["t"] = RegistrationState.GONE
+        fixture.guard.review([])
+        assert fixture.ends == ends
 
-    play(body)
+    run_with_fixture(body)
 
 
-def test_calls_that_a_target_cut_together_share_one_look() -> None:
-    async def body(world: World) -> None:
-        await asyncio.gather(*(world.cut("t", b"%12d" % number) for number in range(50)))
-        assert world.looks == ["t:1"]
-        assert len(world.ledger.suspects) == 50
+def test_calls_cut_together_share_one_probe() -> None:
+    async def body(fixture: GuardFixture) -> None:
+        await asyncio.gather(*(fixture.cut("t", b"%12d" % number) for number in range(50)))
+        assert fixture.probed == ["t:1"]
+        assert len(fixture.ledger.suspects) == 50
 
-    play(body)
+    run_with_fixture(body)
 
 
-def test_what_bars_a_call_is_logged_with_its_evidence(caplog: pytest.LogCaptureFixture) -> None:
-    async def body(world: World) -> None:
-        assert world.guard.verdict("r", CALL) is CrashVerdict.CLEAR
+def test_blocked_call_is_logged_with_its_evidence(caplog: pytest.LogCaptureFixture) -> None:
+    async def body(fixture: GuardFixture) -> None:
+        assert fixture.guard.verdict("r", CALL) is CrashVerdict.CLEAR
         for name in ("a", "b", "c"):
-            await world.cut(name)
+            await fixture.cut(name)
             await asyncio.sleep(0.002)
         with caplog.at_level(logging.WARNING):
-            assert world.guard.verdict("again", CALL) is CrashVerdict.HELD
+            assert fixture.guard.verdict("again", CALL) is CrashVerdict.HELD
         assert "request=again" in caplog.text
         assert all(f"{name}@5/n1/0.0s" in caplog.text for name in ("a", "b", "c"))
-        world.guard.record_answer("again", CALL)
-        assert world.guard.verdict("again", CALL) is CrashVerdict.CLEAR
+        fixture.guard.record_answer("again", CALL)
+        assert fixture.guard.verdict("again", CALL) is CrashVerdict.CLEAR
 
-    play(body)
+    run_with_fixture(body)
 
 
 @pytest.mark.parametrize(("others_listen", "verdict"), [(True, "refused"), (False, "suspect")])
-def test_other_targets_are_looked_at_before_a_call_is_blamed(
+def test_other_targets_are_probed_before_a_call_is_blamed(
     others_listen: bool, verdict: str
 ) -> None:
-    """A zone goes, and nothing ran at some of its targets whose end anybody would have seen."""
+    """A zone fails, and some of its targets ran no call that would have shown their crash."""
 
-    async def body(world: World) -> None:
-        world.others = [TargetStart(f"o{number}", f"o{number}:1", 5) for number in range(9)]
-        world.listening = {other.address for other in world.others} if others_listen else set()
+    async def body(fixture: GuardFixture) -> None:
+        fixture.others = [TargetStart(f"o{number}", f"o{number}:1", 5) for number in range(9)]
+        fixture.listening = {other.address for other in fixture.others} if others_listen else set()
         for name in ("a", "b", "c"):
-            await world.cut(name)
+            await fixture.cut(name)
             await asyncio.sleep(0.002)
-        assert len([look for look in world.looks if look.startswith("o")]) == 3
+        assert len([address for address in fixture.probed if address.startswith("o")]) == 3
         now_s = asyncio.get_running_loop().time()
-        assert world.ledger.verdict(CALL, now_s + 1.1).value == verdict
+        assert fixture.ledger.verdict(CALL, now_s + 1.1).value == verdict
 
-    play(body)
+    run_with_fixture(body)
 
 
-def test_a_node_that_comes_later_is_told_of_what_is_refused() -> None:
-    """All nodes are replaced one after the other, and none of the new ones saw a target end.
+def test_refused_calls_are_announced_to_new_nodes() -> None:
+    """All nodes are replaced one after the other, and none of the new ones saw a crash.
 
-    News is told a few times when it is new. Nobody told it to those who came later, and they let
-    the request end three more targets each.
+    Reports are sent only a few times while they are new. Unless they are sent again, the new nodes
+    miss them, and the request crashes three more targets at each.
     """
 
-    async def body(world: World) -> None:
-        world.guard.review(["a", "b"])
+    async def body(fixture: GuardFixture) -> None:
+        fixture.guard.review(["a", "b"])
         for name in ("a", "b", "c"):
-            await world.cut(name)
+            await fixture.cut(name)
             await asyncio.sleep(0.002)
-        world.others = []
+        fixture.others = []
         assert (
-            world.ledger.verdict(CALL, asyncio.get_running_loop().time() + 1.1).value == "refused"
+            fixture.ledger.verdict(CALL, asyncio.get_running_loop().time() + 1.1).value == "refused"
         )
-        while world.news.load(EMPTY, 0.0).crashes:
+        while fixture.gossip.load(EMPTY, 0.0).crashes:
             pass
-        world.guard.review(["a", "b"])
-        assert world.news.load(EMPTY, 0.0) is EMPTY
-        world.guard.review(["b", "newcomer"])
-        told = world.news.load(EMPTY, 0.0).crashes
-        assert {row.target for row in told} == {"a@5", "b@5", "c@5"}
+        fixture.guard.review(["a", "b"])
+        assert fixture.gossip.load(EMPTY, 0.0) is EMPTY
+        fixture.guard.review(["b", "newcomer"])
+        rows = fixture.gossip.load(EMPTY, 0.0).crashes
+        assert {row.target for row in rows} == {"a@5", "b@5", "c@5"}
 
-    play(body)
+    run_with_fixture(body)
--- a/tests/crashes/test_request_digest.py
+++ b/tests/crashes/test_request_digest.py
@@ -1,4 +1,4 @@
-"""What makes two calls the same request."""
+"""Identification of repeated requests by their digest."""
 
 import pytest
 
@@ -21,13 +21,13 @@
     ],
     ids=["method", "host", "query", "no query", "caller", "nobody", "empty body", "shifted"],
 )
-def test_requests_that_differ_have_marks_of_their_own(
+def test_different_requests_have_different_digests(
     other: tuple[str, str, str, str, bytes],
 ) -> None:
-    """Nobody can make the request of another caller be refused."""
+    """A caller mustn't be able to get another caller's request refused."""
     assert request_digest(*other) != request_digest(*BASE)
 
 
-def test_a_host_is_the_same_with_its_port_and_in_any_case() -> None:
+def test_host_is_compared_without_port_and_case() -> None:
     method, _host, *rest = BASE
     assert request_digest(method, "H.example:80", *rest) == request_digest(*BASE)  # type: ignore[arg-type]
