--- a/samphirecleat/crashes/_barred.py
+++ b/samphirecleat/crashes/_barred.py
@@ -20,8 +20,8 @@
     A held request hasn't run under its ID, unless an earlier attempt may have.
     """
     if verdict is CrashVerdict.REFUSED:
-        attempts_suffix = f": {attempts_summary}" if attempts_summary else ""
-        detail = f"this request crashes the targets that run it; change it before retrying{attempts_suffix}"
+        suffix = f": {attempts_summary}" if attempts_summary else ""
+        detail = f"this request crashes the targets that run it; change it before retrying{suffix}"
         return RequestError(ErrorKind.CRASHES_TARGETS, detail)
     return RequestError(
         ErrorKind.CRASH_SUSPECTED,
--- a/samphirecleat/serving/_registry.py
+++ b/samphirecleat/serving/_registry.py
@@ -19,7 +19,10 @@
     """Registered targets, and vanished ones whose registration may merely have expired."""
 
     def __init__(self, store_failed_at_s: Callable[[], float]) -> None:
-        """Take the time when the store last failed to answer, in seconds on the boot clock."""
+        """Start without registrations.
+
+        ``store_failed_at_s`` returns when the store last failed to answer, on the boot clock.
+        """
         self._store_failed_at_s = store_failed_at_s
         self._registered: dict[str, Target] = {}
         self._vanished: dict[str, Target] = {}
@@ -43,7 +46,7 @@
             self.put(target)
 
     def usable_targets(self) -> Mapping[str, Target]:
-        """Return the targets that calls may be sent to."""
+        """Return the targets that are in use, including vanished ones that are still kept."""
         if self._vanished and boot_time_s() - self._store_failed_at_s() > VANISHED_KEEP_S:
             self._vanished.clear()
         if not self._vanished:
--- a/samphirecleat/serving/_target_table.py
+++ b/samphirecleat/serving/_target_table.py
@@ -103,7 +103,7 @@
         mean_s = (
             duration.mean_s
             if duration is not None
-            else _median_s(p.mean_s for p in self._durations.values())
+            else _median_s(d.mean_s for d in self._durations.values())
         )
         if waited_s > mean_s:
             self._note_duration(target, waited_s, now_s)
@@ -165,15 +165,15 @@
 
 def _median_s(means_s: Iterable[float]) -> float:
     """Return the lower median, at least 1 ms; 1.0 if there are no values."""
-    known = sorted(means_s)
-    return max(0.001, known[(len(known) - 1) // 2]) if known else 1.0
+    values = sorted(means_s)
+    return max(0.001, values[(len(values) - 1) // 2]) if values else 1.0
 
 
 def select_services(route: Route, draw: float) -> Sequence[str]:
     """Return the service of a route that ``draw`` (0 to 1) selects by weight.
 
-    The result holds one service: the operator sets the weights, and another service of the route
-    isn't a replica of the selected one.
+    The result holds at most one service: the operator sets the weights, and another service of the
+    route isn't a replica of the selected one.
     """
     total = sum(max(0.0, part.weight) for part in route.services)
     if total <= 0.0:
