--- a/samphirecleat/controllers/admission/_crash_watch.py
+++ b/samphirecleat/controllers/admission/_crash_watch.py
@@ -33,7 +33,7 @@
     return Registered.DRAINING if target.leaving else Registered.READY
 
 
-def others_beside(board: Blackboard, start: TargetStart) -> Sequence[TargetStart]:
+def other_usable_targets(board: Blackboard, start: TargetStart) -> Sequence[TargetStart]:
     """Return the other targets of the same service that answered when last asked."""
     target = board.targets.get(start.address)
     if target is None:
--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -64,7 +64,7 @@
         self._turns: Counter[str] = Counter()
         self._budgets: dict[str, RetryBudget] = {}
         self._cancels: set[asyncio.Task[None]] = set()
-        self.on_refused: Callable[[str], None] = _ignore
+        self.on_connection_refused: Callable[[str], None] = _ignore
 
     async def run(self, call: Call, answer: AnswerLog) -> None:
         """Run a call and fill its answer; every end of it closes the answer.
@@ -142,7 +142,7 @@
                 attempts.may_have_run = earlier_may_have_run or error.may_have_run
                 self._observer.counters[f"attempts_{type(error.failure).__name__.lower()}"] += 1
                 if isinstance(error.failure, NotSent):
-                    self.on_refused(target.address)
+                    self.on_connection_refused(target.address)
                 decision = decide_retry(
                     call,
                     error.failure,
--- a/samphirecleat/controllers/admission/_limiter.py
+++ b/samphirecleat/controllers/admission/_limiter.py
@@ -19,8 +19,8 @@
     Refuse,
     Windows,
     decide_admission,
+    free_trainer_slots,
     next_windows,
-    trainer_room,
 )
 from ._service_time import ServiceTime
 
@@ -74,11 +74,11 @@
         """All callers' calls that wait at this node."""
         return sum(len(gate.waiters) for gate in self._gates.values())
 
-    def trainer_room(self, service: str) -> int:
+    def free_trainer_slots(self, service: str) -> int:
         """Return how many more trainer calls to ``service`` may start now."""
         gate = self._gates[service]
         windows = self._windows(service)
-        return trainer_room(windows, len(gate.waiters), gate.trainers)
+        return free_trainer_slots(windows, len(gate.waiters), gate.trainers)
 
     async def admit(self, call: Call) -> None:
         """Return once the call may start; pair it with :meth:`release`.
@@ -88,7 +88,7 @@
         """
         gate = self._gates[call.service]
         if call.work_class is WorkClass.TRAINER:
-            if self.trainer_room(call.service) <= 0:
+            if self.free_trainer_slots(call.service) <= 0:
                 raise _overloaded(call.service, TRAINER_RETRY_S)
             gate.change(call.work_class, 1)
             return
--- a/samphirecleat/controllers/admission/_limits.py
+++ b/samphirecleat/controllers/admission/_limits.py
@@ -162,7 +162,7 @@
     return rounds * view.service_s
 
 
-def trainer_room(windows: Windows, callers_queued: int, trainers_in_flight: int) -> int:
+def free_trainer_slots(windows: Windows, callers_queued: int, trainers_in_flight: int) -> int:
     """Return how many more trainer calls may start; none while callers wait."""
     if callers_queued:
         return 0
--- a/samphirecleat/controllers/steps/_step_runner.py
+++ b/samphirecleat/controllers/steps/_step_runner.py
@@ -107,7 +107,7 @@
     def _start_runs(self, service: str, steps: Sequence[Step], now_s: float) -> None:
         targets = self._board.targets_of(service)
         placement = find_free_slots(targets, self._board.in_flight)
-        room = min(self._limiter.trainer_room(service), placement.free_slots)
+        room = min(self._limiter.free_trainer_slots(service), placement.free_slots)
         usable = frozenset(target.address for target in targets if target.usable)
         room = self._start_copies(service, steps, usable, placement, room, now_s)
         self._start_first_runs(service, steps, usable, placement, room, now_s)
--- a/samphirecleat/node.py
+++ b/samphirecleat/node.py
@@ -12,7 +12,7 @@
 from grpclib.server import Server
 
 from .blackboard import Blackboard, Identity, Member
-from .controllers.admission import Dispatcher, Limiter, others_beside, registration_of
+from .controllers.admission import Dispatcher, Limiter, other_usable_targets, registration_of
 from .controllers.configuration import ConfigFollower, ConfigReader
 from .controllers.membership import Discovery, Drain, Membership
 from .controllers.policies import Policies
@@ -185,7 +185,7 @@
             self.peers,
         )
         self.target_watch = TargetWatch(board, client, timings.watch_s, self._rng)
-        self.dispatcher.on_refused = self.target_watch.note_refused
+        self.dispatcher.on_connection_refused = self.target_watch.note_refused
         self.target_watch.on_pause = self.discovery.ask_anew
         self.membership = Membership(
             board,
@@ -221,7 +221,7 @@
             self._crash_news,
             is_listening,
             lambda start: registration_of(board, start),
-            lambda start: others_beside(board, start),
+            lambda start: other_usable_targets(board, start),
             UnkeptEnds(),
             self.observer,
         )
--- a/tests/controllers/admission/test_crash_watch.py
+++ b/tests/controllers/admission/test_crash_watch.py
@@ -6,7 +6,7 @@
 
 from samphirecleat.blackboard import Blackboard, Identity, TargetView
 from samphirecleat.config import ServiceKind
-from samphirecleat.controllers.admission import others_beside, registration_of
+from samphirecleat.controllers.admission import other_usable_targets, registration_of
 from samphirecleat.controllers.admission._crash_watch import mark_of, start_of
 from samphirecleat.crashes import CrashGuard, CrashLedger, Registered
 from samphirecleat.errors import ErrorKind, Ran, RequestError
@@ -42,7 +42,10 @@
     board = Blackboard(Identity("n1", "aa", "z", "", ""))
     others = [SERVER._replace(address=f"{n}:1", reachable=n < 2) for n in range(3)]
     board.targets = {view.address: view for view in [SERVER, *others]}
-    assert [other.address for other in others_beside(board, start_of(SERVER))] == ["0:1", "1:1"]
+    assert [other.address for other in other_usable_targets(board, start_of(SERVER))] == [
+        "0:1",
+        "1:1",
+    ]
 
 
 def test_a_call_has_one_mark_whatever_its_key_and_order_of_its_body() -> None:
@@ -60,7 +63,7 @@
         CrashLedger(),
         is_listening,
         lambda start: registration_of(board, start),
-        lambda start: others_beside(board, start),
+        lambda start: other_usable_targets(board, start),
     )
 
 
--- a/tests/controllers/admission/test_limits.py
+++ b/tests/controllers/admission/test_limits.py
@@ -16,8 +16,8 @@
     Refuse,
     Windows,
     decide_admission,
+    free_trainer_slots,
     next_windows,
-    trainer_room,
 )
 from samphirecleat.controllers.policies import AdaptiveWindow, NoLimits, StaticShare
 from samphirecleat.errors import ErrorKind, Ran, RequestError
@@ -109,8 +109,8 @@
 
 
 def test_trainers_start_nothing_while_callers_wait() -> None:
-    assert trainer_room(Windows(4, 10), callers_queued=0, trainers_in_flight=4) == 6
-    assert trainer_room(Windows(4, 10), callers_queued=1, trainers_in_flight=4) == 0
+    assert free_trainer_slots(Windows(4, 10), callers_queued=0, trainers_in_flight=4) == 6
+    assert free_trainer_slots(Windows(4, 10), callers_queued=1, trainers_in_flight=4) == 0
 
 
 def make_limiter() -> Limiter:
--- a/tests/controllers/steps/test_step_runner.py
+++ b/tests/controllers/steps/test_step_runner.py
@@ -68,7 +68,7 @@
         self.room = room
         self._running = runner_calls
 
-    def trainer_room(self, _service: str) -> int:
+    def free_trainer_slots(self, _service: str) -> int:
         return self.room - self._running()
 
 
