--- a/samphirecleat/controllers/admission/__init__.py
+++ b/samphirecleat/controllers/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Which calls start, where, and when again: windows, routing, retries."""
+"""Admission of calls: concurrency windows, routing to targets, and retries."""
 
 from ._crash_watch import other_usable_targets, registration_of
 from ._dispatcher import Dispatcher
--- a/samphirecleat/controllers/admission/_crash_watch.py
+++ b/samphirecleat/controllers/admission/_crash_watch.py
@@ -1,4 +1,4 @@
-"""The bound on calls that end their targets, for calls to the services of the text."""
+"""Adapts calls and targets of the configured services to the crash guard."""
 
 import json
 from collections.abc import Sequence
@@ -9,23 +9,25 @@
 
 
 def mark_of(call: Call) -> bytes:
-    """Return what stands for a call, whatever its key.
+    """Return the identity under which crashes of a call are counted.
 
-    Nothing in a call of this interface says who its caller is.
+    It covers method, service and body, not the request key. The caller is left
+    empty, because a call of this interface does not name it.
     """
     body = json.dumps(call.body, sort_keys=True, separators=(",", ":")).encode()
     return call_mark(call.method, call.service, "", "", body)
 
 
 def start_of(target: TargetView) -> TargetStart:
-    """Return the start of a target that it reported; each has an instance of its own."""
+    """Return the target's current process start, told apart by the reported instance."""
     return TargetStart(target.instance or target.address, target.address, 0)
 
 
 def registration_of(board: Blackboard, start: TargetStart) -> Registered:
-    """Return what is known of one start of a target.
+    """Return the registration state of one process start of a target.
 
-    One that gives no answer may have ended; that is for its address to say.
+    An unreachable target still counts as registered; whether its process ended
+    is decided by probing its address.
     """
     target = board.targets.get(start.address)
     if target is None or start_of(target) != start:
@@ -34,9 +36,11 @@
 
 
 def other_usable_targets(board: Blackboard, start: TargetStart) -> Sequence[TargetStart]:
-    """Return the other targets of the same service that answered when last asked."""
+    """Return the other usable targets of the same service."""
     target = board.targets.get(start.address)
     if target is None:
         return ()
-    beside = board.targets_of(target.service)
-    return [start_of(other) for other in beside if other.address != start.address and other.usable]
+    same_service = board.targets_of(target.service)
+    return [
+        start_of(other) for other in same_service if other.address != start.address and other.usable
+    ]
--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -1,4 +1,4 @@
-"""Runs one call: admission, choice of target, attempts, and its answer."""
+"""Runs a call: admission, target selection, attempts and the answer."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 from ..targets import is_stale, is_unheard
 from ._crash_watch import mark_of, start_of
 from ._limiter import Limiter
-from ._pace import PaceKeeper
+from ._pace import LatencyTracker
 from ._retries import GiveUp, RetryBudget, TryElsewhere, decide_retry
 from ._routing import RoutingView, choose_target
 
@@ -29,15 +29,15 @@
 
 @dataclass
 class _Attempts:
-    """What was tried for one call; ``may_have_run`` includes the present attempt."""
+    """Attempts made for one call; ``may_have_run`` includes the current attempt."""
 
-    tried: list[str] = field(default_factory=list)
+    attempted: list[str] = field(default_factory=list)
     may_have_run: bool = False
     last_error: RequestError | None = None
 
 
 class Dispatcher:
-    """Takes calls from callers, from other nodes and from steps, and runs them."""
+    """Runs calls from callers, from other nodes and from steps."""
 
     def __init__(
         self,
@@ -49,9 +49,10 @@
         policies: Policies,
         guard: CrashGuard | None = None,
     ) -> None:
-        """Wire the parts that a call passes through.
+        """Create a dispatcher.
 
-        ``guard`` bars callers' calls that end their targets; without one, none is barred.
+        ``guard`` bars callers' calls that crash their targets; without it, no call
+        is barred.
         """
         self._board = board
         self._limiter = limiter
@@ -60,16 +61,16 @@
         self._rng = rng
         self._policies = policies
         self._guard = guard
-        self._paces = PaceKeeper()
-        self._turns: Counter[str] = Counter()
+        self._latencies = LatencyTracker()
+        self._choice_counts: Counter[str] = Counter()
         self._budgets: dict[str, RetryBudget] = {}
         self._cancels: set[asyncio.Task[None]] = set()
-        self.on_connection_refused: Callable[[str], None] = _ignore
+        self.on_connection_refused: Callable[[str], None] = _ignore_refused_connection
 
     async def run(self, call: Call, answer: AnswerLog) -> None:
-        """Run a call and fill its answer; every end of it closes the answer.
+        """Run a call and write its answer, which is closed on every outcome.
 
-        The call ends at its deadline at the latest, whatever its target does.
+        Returns at the call's deadline at the latest, whatever its target does.
         """
         attempts = _Attempts()
         try:
@@ -89,7 +90,7 @@
             answer.close(RequestError(ErrorKind.INTERNAL, repr(error)))
 
     async def close(self) -> None:
-        """Drop the cancels that are still on their way to engines."""
+        """Abort cancel requests to engines that are still pending."""
         for task in list(self._cancels):
             task.cancel()
         await asyncio.gather(*self._cancels, return_exceptions=True)
@@ -108,12 +109,12 @@
             self._limiter.release(call, loop.time() - started_at_s)
 
     def _check_dependencies(self, service: Service) -> None:
-        """Refuse before any work is done when a needed service has no target."""
+        """Refuse the call before any work if a dependency has no usable target."""
         for needed in service.depends_on:
             if not any(target.usable for target in self._board.targets_of(needed)):
                 raise RequestError(
                     ErrorKind.NO_TARGET,
-                    f'"{service.name}" depends on "{needed}", which has no usable target',
+                    f'service "{service.name}" depends on "{needed}", which has no usable target',
                     retry_after_s=NO_TARGET_RETRY_S,
                 )
 
@@ -124,21 +125,23 @@
         budget = self._budgets.setdefault(service.name, RetryBudget(limit.ratio, limit.cap))
         budget.note_first_attempt()
         while True:
-            self._check_standing(call, attempts)
-            target = self._choose(service, call, attempts.tried)
+            self._refuse_if_barred(call, attempts)
+            target = self._choose(service, call, attempts.attempted)
             if target is None:
-                raise _weaken(attempts.last_error or _no_target(service), attempts.may_have_run)
-            attempts.tried.append(target.address)
+                raise _downgrade_not_run(
+                    attempts.last_error or _no_target(service), attempts.may_have_run
+                )
+            attempts.attempted.append(target.address)
             earlier_may_have_run = attempts.may_have_run
             attempts.may_have_run = True
-            begun_s = asyncio.get_running_loop().time()
+            started_at_s = asyncio.get_running_loop().time()
             try:
                 await self._attempt(service, target, call, answer)
                 if (guard := self._guard_of(call)) is not None:
                     guard.answered(call.request_id, mark_of(call))
                 return
             except TargetError as error:
-                await self._note_cut(call, target, begun_s, error)
+                await self._report_lost_run(call, target, started_at_s, error)
                 attempts.may_have_run = earlier_may_have_run or error.may_have_run
                 self._observer.counters[f"attempts_{type(error.failure).__name__.lower()}"] += 1
                 if isinstance(error.failure, NotSent):
@@ -146,48 +149,49 @@
                 decision = decide_retry(
                     call,
                     error.failure,
-                    attempt=len(attempts.tried),
+                    attempt=len(attempts.attempted),
                     answer_started=answer.started,
                     now_s=asyncio.get_running_loop().time(),
                 )
                 match decision:
                     case GiveUp(error=final):
-                        raise _weaken(final, attempts.may_have_run) from error
+                        raise _downgrade_not_run(final, attempts.may_have_run) from error
                     case TryElsewhere(error=final, spends_budget=spends_budget):
                         attempts.last_error = final
                         if spends_budget and not budget.take():
-                            raise _weaken(final, attempts.may_have_run) from error
+                            raise _downgrade_not_run(final, attempts.may_have_run) from error
 
     def _guard_of(self, call: Call) -> CrashGuard | None:
-        """Return the guard if the bound on calls that end their targets holds for a call.
+        """Return the crash guard if it applies to this call.
 
-        The samples of a step are made anew elsewhere until they are whole.
+        It does not apply to trainer calls: samples of a step are generated again on
+        other targets until they are complete.
         """
         return self._guard if call.work_class is WorkClass.CALLER else None
 
-    def _check_standing(self, call: Call, attempts: _Attempts) -> None:
-        """Return if a call may be sent to a target now.
+    def _refuse_if_barred(self, call: Call, attempts: _Attempts) -> None:
+        """Check that the crash guard lets the call be sent to a target now.
 
-        :raises RequestError: CRASHES_TARGETS for one that ends them, CRASH_SUSPECTED while that
-            is being found out.
+        :raises RequestError: CRASHES_TARGETS if the call crashes its targets,
+            CRASH_SUSPECTED while that is not yet known.
         """
         guard = self._guard_of(call)
         if guard is None or not guard.suspects_any:
             return
         standing = guard.standing(call.request_id, mark_of(call))
         if is_barred(standing):
-            raise _weaken(barred_error(standing), attempts.may_have_run)
+            raise _downgrade_not_run(barred_error(standing), attempts.may_have_run)
 
-    async def _note_cut(
-        self, call: Call, target: TargetView, begun_s: float, error: TargetError
+    async def _report_lost_run(
+        self, call: Call, target: TargetView, started_at_s: float, error: TargetError
     ) -> None:
-        """Take a failure of a run, which may have ended with its target."""
+        """Report a cut connection to the crash guard: the target may have crashed."""
         failure, guard = error.failure, self._guard_of(call)
         if guard is not None and isinstance(failure, Lost) and failure.cut:
             mark, start = mark_of(call), start_of(target)
-            await guard.cut(call.request_id, mark, start, begun_s, failure.detail)
+            await guard.cut(call.request_id, mark, start, started_at_s, failure.detail)
 
-    def _choose(self, service: Service, call: Call, tried: Sequence[str]) -> TargetView | None:
+    def _choose(self, service: Service, call: Call, attempted: Sequence[str]) -> TargetView | None:
         now_s = asyncio.get_running_loop().time()
         if is_stale(self._board.targets_kept_at_s, now_s):
             return None
@@ -202,12 +206,12 @@
             own_in_flight=self._board.in_flight,
             node_count=len(self._board.live_members()),
             zone=self._board.identity.zone,
-            excluded=[*call.excluded_targets, *tried],
-            pace=self._paces.paces([target.address for target in targets], now_s),
+            excluded=[*call.excluded_targets, *attempted],
+            slowdown=self._latencies.slowdowns([target.address for target in targets], now_s),
             prompt=str(call.body.get("prompt", "")) if _has_prefix_cache(service) else "",
-            turn=self._turns[service.name],
+            choice_index=self._choice_counts[service.name],
         )
-        self._turns[service.name] += 1
+        self._choice_counts[service.name] += 1
         return choose_target(self._policies.routing, view, self._rng, now_s)
 
     async def _attempt(
@@ -218,8 +222,8 @@
         answer.target = target.address
         held: list[AnswerLine] = []
         tokens = 0
-        # Only a streamed answer is passed on before its end; a whole one is
-        # held back, so that an attempt which fails midway leaves no trace in it.
+        # Only a streamed answer is passed on before its end. Any other answer is
+        # buffered, so that lines of a failed attempt never reach the caller.
         streamed = bool(call.body.get("stream", False))
         try:
             with self._observer.span("target", call.traceparent, target=target.address) as parent:
@@ -235,7 +239,7 @@
             for line in held:
                 answer.add(line)
             ended_at_s = asyncio.get_running_loop().time()
-            self._paces.note(target.address, ended_at_s - now_s, tokens, ended_at_s)
+            self._latencies.record(target.address, ended_at_s - now_s, tokens, ended_at_s)
         except BaseException as error:
             if not isinstance(error, TargetError) or error.may_have_run:
                 self._cancel_at(service, target, call)
@@ -244,10 +248,10 @@
             in_flight[target.address] -= 1
 
     def _cancel_at(self, service: Service, target: TargetView, call: Call) -> None:
-        """Tell an engine to stop a run that nobody waits for any more.
+        """Cancel a run at its engine when its answer is no longer needed.
 
-        Without it, a run whose connection went silent or whose caller went away
-        would hold its slot to the last token.
+        Otherwise a run whose connection stalled or whose caller disconnected would
+        occupy its slot until the last token.
         """
         if service.kind is not ServiceKind.ENGINE:
             return
@@ -262,16 +266,16 @@
 
 
 def _target_priority(call: Call) -> int:
-    """Return the priority that the target sees: any caller before any trainer."""
+    """Return the priority sent to the target; every caller ranks above every trainer."""
     return int(call.work_class) * PRIORITIES_PER_CLASS + call.priority
 
 
-def _ignore(_address: str) -> None:
-    """Stand in until somebody wants to know of refused connections."""
+def _ignore_refused_connection(_address: str) -> None:
+    """Ignore a refused connection; the default of ``on_connection_refused``."""
 
 
-def _weaken(error: RequestError, may_have_run: bool) -> RequestError:
-    """Never say "not run" of a call of which an earlier attempt may have run."""
+def _downgrade_not_run(error: RequestError, may_have_run: bool) -> RequestError:
+    """Replace a "not run" error by OUTCOME_UNKNOWN if an earlier attempt may have run."""
     if may_have_run and error.ran is Ran.NO:
         return RequestError(ErrorKind.OUTCOME_UNKNOWN, error.detail)
     return error
@@ -280,14 +284,16 @@
 def _no_target(service: Service) -> RequestError:
     return RequestError(
         ErrorKind.NO_TARGET,
-        f'"{service.name}" has no usable target now',
+        f'service "{service.name}" has no usable target',
         retry_after_s=NO_TARGET_RETRY_S,
     )
 
 
 def _deadline_exceeded(attempts: _Attempts) -> RequestError:
     if attempts.may_have_run:
-        return RequestError(ErrorKind.DEADLINE_EXCEEDED, "the deadline passed while it ran")
+        return RequestError(
+            ErrorKind.DEADLINE_EXCEEDED, "deadline exceeded while the call was running"
+        )
     return RequestError(
-        ErrorKind.DEADLINE_EXCEEDED, "the deadline passed before it was sent", ran=Ran.NO
+        ErrorKind.DEADLINE_EXCEEDED, "deadline exceeded before the call was sent", ran=Ran.NO
     )
--- a/samphirecleat/controllers/admission/_limiter.py
+++ b/samphirecleat/controllers/admission/_limiter.py
@@ -1,4 +1,4 @@
-"""Applies the limits: counts what is in flight, and queues callers by priority."""
+"""Enforces the concurrency windows and queues callers' calls by priority."""
 
 import asyncio
 import heapq
@@ -29,23 +29,23 @@
 
 
 @dataclass(order=True)
-class _Waiter:
-    """A queued call: the higher priority first, then the earlier arrival."""
+class _QueuedCall:
+    """A queued call, ordered by descending priority, then by arrival."""
 
     order: tuple[int, int]
     latest_start_s: float = field(compare=False)
-    turn: asyncio.Future[None] = field(compare=False)
+    start_signal: asyncio.Future[None] = field(compare=False)
 
 
 @dataclass
-class _Gate:
-    """What this node holds of one service."""
+class _ServiceState:
+    """Windows, in-flight counts and queue of one service at this node."""
 
     windows: Windows | None = None
     callers: int = 0
     trainers: int = 0
     service_time: ServiceTime = field(default_factory=ServiceTime)
-    waiters: list[_Waiter] = field(default_factory=list)
+    queued_calls: list[_QueuedCall] = field(default_factory=list)
 
     def change(self, work_class: WorkClass, by: int) -> None:
         if work_class is WorkClass.CALLER:
@@ -55,79 +55,81 @@
 
 
 class Limiter:
-    """Lets calls start within the windows of :mod:`~samphirecleat.controllers.admission`."""
+    """Starts, queues or refuses calls according to the concurrency windows."""
 
     def __init__(self, board: Blackboard, policy: LimitPolicy) -> None:
-        """Read targets and members from the blackboard."""
+        """Create a limiter that reads targets and members from ``board``."""
         self._board = board
         self._policy = policy
-        self._gates: defaultdict[str, _Gate] = defaultdict(_Gate)
+        self._services: defaultdict[str, _ServiceState] = defaultdict(_ServiceState)
         self._arrivals = itertools.count()
 
     @property
     def in_flight(self) -> int:
-        """All calls in flight at this node."""
-        return sum(gate.callers + gate.trainers for gate in self._gates.values())
+        """The number of calls in flight at this node."""
+        return sum(state.callers + state.trainers for state in self._services.values())
 
     @property
     def queued(self) -> int:
-        """All callers' calls that wait at this node."""
-        return sum(len(gate.waiters) for gate in self._gates.values())
+        """The number of callers' calls queued at this node."""
+        return sum(len(state.queued_calls) for state in self._services.values())
 
     def free_trainer_slots(self, service: str) -> int:
         """Return how many more trainer calls to ``service`` may start now."""
-        gate = self._gates[service]
+        state = self._services[service]
         windows = self._windows(service)
-        return free_trainer_slots(windows, len(gate.waiters), gate.trainers)
+        return free_trainer_slots(windows, len(state.queued_calls), state.trainers)
 
     async def admit(self, call: Call) -> None:
-        """Return once the call may start; pair it with :meth:`release`.
+        """Wait until the call may start; each return must be paired with :meth:`release`.
 
         :raises samphirecleat.errors.RequestError: OVERLOADED, not run, as soon as
-            the call can not be expected to end before its deadline.
+            the call is not expected to end before its deadline.
         """
-        gate = self._gates[call.service]
+        state = self._services[call.service]
         if call.work_class is WorkClass.TRAINER:
             if self.free_trainer_slots(call.service) <= 0:
                 raise _overloaded(call.service, TRAINER_RETRY_S)
-            gate.change(call.work_class, 1)
+            state.change(call.work_class, 1)
             return
-        match decide_admission(self._admission_view(gate, call)):
+        match decide_admission(self._admission_view(state, call)):
             case Admit():
-                gate.change(call.work_class, 1)
+                state.change(call.work_class, 1)
             case Refuse(retry_after_s=retry_after_s):
                 raise _overloaded(call.service, retry_after_s)
             case Queue():
-                await self._wait(gate, call)
+                await self._wait(state, call)
 
-    def release(self, call: Call, took_s: float) -> None:
-        """Give back what :meth:`admit` took, and let the next caller start."""
-        gate = self._gates[call.service]
-        gate.change(call.work_class, -1)
+    def release(self, call: Call, duration_s: float) -> None:
+        """Release the slot taken by :meth:`admit` and start queued calls."""
+        state = self._services[call.service]
+        state.change(call.work_class, -1)
         if call.work_class is WorkClass.CALLER:
-            gate.service_time.note(took_s)
-        self._start_waiters(call.service)
+            state.service_time.record(duration_s)
+        self._start_queued(call.service)
 
     async def drive(self) -> None:
-        """Adjust the windows for as long as the node lives."""
+        """Adjust the windows periodically until cancelled."""
         while True:
             await asyncio.sleep(CONTROL_PERIOD_S)
-            for service in list(self._gates):
+            for service in list(self._services):
                 self._adjust(service)
-                self._refuse_hopeless(service)
-                self._start_waiters(service)
+                self._refuse_expired(service)
+                self._start_queued(service)
 
     def _adjust(self, service: str) -> None:
-        gate = self._gates[service]
-        in_flight = Windows(gate.callers, gate.trainers)
-        gate.windows = next_windows(self._policy, gate.windows, self._occupancy(service), in_flight)
+        state = self._services[service]
+        in_flight = Windows(state.callers, state.trainers)
+        state.windows = next_windows(
+            self._policy, state.windows, self._occupancy(service), in_flight
+        )
 
     def _windows(self, service: str) -> Windows:
-        gate = self._gates[service]
-        if gate.windows is None:
+        state = self._services[service]
+        if state.windows is None:
             self._adjust(service)
-        assert gate.windows is not None
-        return gate.windows
+        assert state.windows is not None
+        return state.windows
 
     def _occupancy(self, service: str) -> OccupancyView:
         usable = [target for target in self._board.targets_of(service) if target.usable]
@@ -139,66 +141,78 @@
         )
 
     def _trainer_share(self, service: str) -> float:
-        """Return the part of the trainers' shares that has steps at this node."""
+        """Return the fraction of all trainers' shares held by trainers with steps here."""
         trainers = self._board.config.services.trainers.values()
         shares = {t.name: t.share for t in trainers if t.service == service}
-        here = self._board.active_trainers.get(service, frozenset())
+        local_trainers = self._board.active_trainers.get(service, frozenset())
         if not shares:
             return 1.0
-        if not here:
+        if not local_trainers:
             return 1.0 / len(shares)
-        return sum(shares.get(name, 0.0) for name in here) / sum(shares.values())
+        return sum(shares.get(name, 0.0) for name in local_trainers) / sum(shares.values())
 
-    def _admission_view(self, gate: _Gate, call: Call) -> AdmissionView:
+    def _admission_view(self, state: _ServiceState, call: Call) -> AdmissionView:
         now_s = asyncio.get_running_loop().time()
         return AdmissionView(
             window=self._windows(call.service).callers,
-            in_flight=gate.callers,
-            ahead=sum(1 for waiter in gate.waiters if -waiter.order[0] >= call.priority),
-            queued=len(gate.waiters),
-            service_s=gate.service_time.mean_s,
-            upper_s=gate.service_time.upper_s,
-            left_s=call.deadline_at_s - now_s,
+            in_flight=state.callers,
+            queued_ahead=sum(
+                1 for queued_call in state.queued_calls if -queued_call.order[0] >= call.priority
+            ),
+            queued=len(state.queued_calls),
+            mean_duration_s=state.service_time.mean_s,
+            high_estimate_s=state.service_time.high_estimate_s,
+            remaining_s=call.deadline_at_s - now_s,
         )
 
-    async def _wait(self, gate: _Gate, call: Call) -> None:
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        latest_start_s = call.deadline_at_s - gate.service_time.upper_s
-        waiter = _Waiter((-call.priority, next(self._arrivals)), latest_start_s, turn)
-        heapq.heappush(gate.waiters, waiter)
+    async def _wait(self, state: _ServiceState, call: Call) -> None:
+        start_signal: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        latest_start_s = call.deadline_at_s - state.service_time.high_estimate_s
+        queued_call = _QueuedCall(
+            (-call.priority, next(self._arrivals)), latest_start_s, start_signal
+        )
+        heapq.heappush(state.queued_calls, queued_call)
         try:
-            await turn
+            await start_signal
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled() and turn.exception() is None:
-                # The turn came in the same moment as the cancel: hand it on, or
-                # the window would stay one call smaller for good.
-                gate.change(call.work_class, -1)
-                self._start_waiters(call.service)
+            if (
+                start_signal.done()
+                and not start_signal.cancelled()
+                and start_signal.exception() is None
+            ):
+                # The slot was granted just before the cancellation: release it, or the
+                # window would stay one call smaller permanently.
+                state.change(call.work_class, -1)
+                self._start_queued(call.service)
             raise
 
-    def _start_waiters(self, service: str) -> None:
-        gate = self._gates[service]
+    def _start_queued(self, service: str) -> None:
+        state = self._services[service]
         window = self._windows(service).callers
-        while gate.waiters and gate.callers < window:
-            waiter = heapq.heappop(gate.waiters)
-            if not waiter.turn.done():
-                gate.change(WorkClass.CALLER, 1)
-                waiter.turn.set_result(None)
-
-    def _refuse_hopeless(self, service: str) -> None:
-        """Answer at once those that could no longer end before their deadline."""
-        gate = self._gates[service]
+        while state.queued_calls and state.callers < window:
+            queued_call = heapq.heappop(state.queued_calls)
+            if not queued_call.start_signal.done():
+                state.change(WorkClass.CALLER, 1)
+                queued_call.start_signal.set_result(None)
+
+    def _refuse_expired(self, service: str) -> None:
+        """Refuse queued calls that can no longer end before their deadline."""
+        state = self._services[service]
         now_s = asyncio.get_running_loop().time()
-        for waiter in gate.waiters:
-            if waiter.latest_start_s <= now_s and not waiter.turn.done():
-                waiter.turn.set_exception(_overloaded(service, gate.service_time.mean_s))
-        gate.waiters = [waiter for waiter in gate.waiters if not waiter.turn.done()]
-        heapq.heapify(gate.waiters)
+        for queued_call in state.queued_calls:
+            if queued_call.latest_start_s <= now_s and not queued_call.start_signal.done():
+                queued_call.start_signal.set_exception(
+                    _overloaded(service, state.service_time.mean_s)
+                )
+        state.queued_calls = [
+            queued_call for queued_call in state.queued_calls if not queued_call.start_signal.done()
+        ]
+        heapq.heapify(state.queued_calls)
 
 
 def _overloaded(service: str, retry_after_s: float) -> RequestError:
     return RequestError(
         ErrorKind.OVERLOADED,
-        f'"{service}" has no room for this request; it was not run',
+        f'service "{service}" is at capacity; the request was not run',
         retry_after_s=retry_after_s,
     )
--- a/samphirecleat/controllers/admission/_pace.py
+++ b/samphirecleat/controllers/admission/_pace.py
@@ -1,7 +1,7 @@
-"""How fast each target answers this node, against the others of its service.
+"""Tracks the latency of each target relative to the others of its service.
 
-An engine can be slow while its reported load is low; only the time that calls
-take there tells.
+An engine can be slow while its reported load is low, so the load alone does not
+show it.
 """
 
 from collections.abc import Iterable, Mapping
@@ -9,39 +9,41 @@
 from typing import Final
 
 SMOOTHING: Final = 0.2
-SLOWEST: Final = 8.0
-FORGET_AFTER_S: Final = 10.0
+MAX_SLOWDOWN: Final = 8.0
+SAMPLE_TTL_S: Final = 10.0
 
 
-class PaceKeeper:
-    """Keeps a moving mean of the seconds per unit of work by target address."""
+class LatencyTracker:
+    """Keeps an exponential moving average of seconds per unit of work by target address."""
 
     def __init__(self) -> None:
-        """Know nothing of any target."""
+        """Start without samples."""
         self._seconds_per_unit: dict[str, float] = {}
-        self._noted_at_s: dict[str, float] = {}
+        self._recorded_at_s: dict[str, float] = {}
 
-    def note(self, address: str, took_s: float, units: int, now_s: float) -> None:
-        """Record an answer of ``units`` tokens (1 for a plain call)."""
-        sample = took_s / max(1, units)
+    def record(self, address: str, duration_s: float, units: int, now_s: float) -> None:
+        """Record an answer of ``units`` tokens (0 or 1 for a plain call)."""
+        sample = duration_s / max(1, units)
         known = self._seconds_per_unit.get(address, sample)
         self._seconds_per_unit[address] = known + SMOOTHING * (sample - known)
-        self._noted_at_s[address] = now_s
+        self._recorded_at_s[address] = now_s
 
-    def paces(self, addresses: Iterable[str], now_s: float) -> Mapping[str, float]:
-        """Return, for those known, how many times slower than their median each is.
+    def slowdowns(self, addresses: Iterable[str], now_s: float) -> Mapping[str, float]:
+        """Return each known target's latency divided by the median of all of them.
 
-        What was last noted over ``FORGET_AFTER_S`` ago is forgotten: a target that
-        was slow and got no more calls could not show otherwise that it is well.
+        Averages older than ``SAMPLE_TTL_S`` are ignored: a target that was slow and
+        therefore gets no calls could not show otherwise that it has recovered.
         """
         known = {
             address: self._seconds_per_unit[address]
             for address in addresses
-            if now_s - self._noted_at_s.get(address, -FORGET_AFTER_S) < FORGET_AFTER_S
+            if now_s - self._recorded_at_s.get(address, -SAMPLE_TTL_S) < SAMPLE_TTL_S
         }
         if len(known) < 2:
             return {}
-        middle = median(known.values())
-        if middle <= 0.0:
+        median_value = median(known.values())
+        if median_value <= 0.0:
             return {}
-        return {address: min(SLOWEST, value / middle) for address, value in known.items()}
+        return {
+            address: min(MAX_SLOWDOWN, value / median_value) for address, value in known.items()
+        }
--- a/samphirecleat/controllers/admission/_retries.py
+++ b/samphirecleat/controllers/admission/_retries.py
@@ -1,10 +1,9 @@
-"""Decides whether a failed call is sent to another target, within a budget.
+"""Decides whether a failed call is retried at another target, within a retry budget.
 
-Only one hop retries a given failure, so that retries never multiply. The node
-that runs a call retries what its targets fail at, and nothing else. A node that
-forwards a call retries nothing. A caller's client retries what a node fails at:
-a lost answer with the same key, and an answer that says "not run" and names any
-node with a new one.
+Only one hop retries a given failure, so that retries never multiply. The node that
+runs a call retries only failures of its targets. A node that forwards a call does
+not retry. A caller's client retries failures of nodes: a lost answer with the same
+key, and a "not run" answer that allows any node with a new key.
 """
 
 from dataclasses import dataclass
@@ -21,10 +20,10 @@
 
 @dataclass(frozen=True)
 class TryElsewhere:
-    """Send the call to another target; answer with ``error`` when there is none.
+    """Retry the call at another target; answer with ``error`` if there is none.
 
-    ``spends_budget`` is false when the failed attempt cost its target nothing, so
-    that one dead target does not use up what its service may retry.
+    ``spends_budget`` is false when the failed attempt never reached its target, so
+    that one dead target does not exhaust the retry budget of its service.
     """
 
     error: RequestError
@@ -33,7 +32,7 @@
 
 @dataclass(frozen=True)
 class GiveUp:
-    """Answer with this error."""
+    """Do not retry; answer with ``error``."""
 
     error: RequestError
 
@@ -44,11 +43,11 @@
 def decide_retry(
     call: Call, failure: TargetFailure, *, attempt: int, answer_started: bool, now_s: float
 ) -> RetryDecision:
-    """Decide what follows a failed attempt, before the budget is asked.
+    """Decide what follows a failed attempt; the caller then checks the budget.
 
-    A call that provably did not run may always be sent elsewhere. One that may
-    have run is repeated only if it is idempotent and no part of its answer has
-    been passed on, since a second run answers with other tokens.
+    A call that provably did not run may always be retried. A call that may have run
+    is retried only if it is idempotent and no part of its answer has been passed on,
+    since a second run generates different tokens.
     """
     error = _final_error(failure)
     if attempt >= MAX_ATTEMPTS or now_s >= call.deadline_at_s:
--- a/tests/controllers/admission/test_limits.py
+++ b/tests/controllers/admission/test_limits.py
@@ -26,7 +26,13 @@
 POLICY = AdaptiveWindow()
 QUIET = OccupancyView(slots=40, in_use=0, node_count=9, trainer_share=1.0)
 VIEW = AdmissionView(
-    window=4.0, in_flight=0, ahead=0, queued=0, service_s=0.2, upper_s=0.3, left_s=5.0
+    window=4.0,
+    in_flight=0,
+    queued_ahead=0,
+    queued=0,
+    mean_duration_s=0.2,
+    high_estimate_s=0.3,
+    remaining_s=5.0,
 )
 
 
@@ -88,11 +94,11 @@
         ({}, Admit()),
         ({"in_flight": 3}, Admit()),
         ({"in_flight": 4}, Queue()),
-        ({"ahead": 1, "queued": 1}, Queue()),
-        ({"in_flight": 4, "left_s": 0.34}, Refuse(0.5)),
-        ({"in_flight": 4, "ahead": 30, "queued": 30, "left_s": 1.8}, Refuse(1.55)),
+        ({"queued_ahead": 1, "queued": 1}, Queue()),
+        ({"in_flight": 4, "remaining_s": 0.34}, Refuse(0.5)),
+        ({"in_flight": 4, "queued_ahead": 30, "queued": 30, "remaining_s": 1.8}, Refuse(1.55)),
         ({"in_flight": 4, "queued": 32}, Refuse(0.5)),
-        ({"left_s": 0.01}, Admit()),
+        ({"remaining_s": 0.01}, Admit()),
     ],
 )
 def test_a_callers_admission(changes, decision) -> None:
--- a/tests/controllers/admission/test_routing.py
+++ b/tests/controllers/admission/test_routing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from samphirecleat.blackboard import TargetView
-from samphirecleat.controllers.admission._pace import PaceKeeper
+from samphirecleat.controllers.admission._pace import LatencyTracker
 from samphirecleat.controllers.admission._routing import RoutingView, choose_target
 from samphirecleat.controllers.admission._service_time import ServiceTime
 from samphirecleat.controllers.policies import (
@@ -76,8 +76,8 @@
 def test_a_slow_target_gets_less_than_its_report_would_bring() -> None:
     """An engine runs three times slower than its peers while it reports little load."""
     targets = [make_target(1), make_target(2)]
-    pace = {targets[0].address: 3.0}
-    assert choose(TwoChoices(), targets, pace=pace) == targets[1]
+    slowdown = {targets[0].address: 3.0}
+    assert choose(TwoChoices(), targets, slowdown=slowdown) == targets[1]
 
 
 def test_an_old_report_gives_way_to_what_this_node_sent() -> None:
@@ -88,21 +88,21 @@
 
 
 def test_pace_is_told_against_the_median_and_forgotten() -> None:
-    keeper = PaceKeeper()
-    for number, took_s in enumerate((0.1, 0.1, 0.4)):
-        keeper.note(f"t{number}", took_s, 10, NOW_S)
+    tracker = LatencyTracker()
+    for number, duration_s in enumerate((0.1, 0.1, 0.4)):
+        tracker.record(f"t{number}", duration_s, 10, NOW_S)
     addresses = ["t0", "t1", "t2", "unknown"]
-    assert keeper.paces(addresses, NOW_S) == pytest.approx({"t0": 1.0, "t1": 1.0, "t2": 4.0})
-    assert keeper.paces(addresses, NOW_S + 60.0) == {}
+    assert tracker.slowdowns(addresses, NOW_S) == pytest.approx({"t0": 1.0, "t1": 1.0, "t2": 4.0})
+    assert tracker.slowdowns(addresses, NOW_S + 60.0) == {}
 
 
 def test_service_time_follows_the_first_call_at_once() -> None:
     time = ServiceTime()
-    time.note(0.5)
+    time.record(0.5)
     assert time.mean_s == pytest.approx(0.5)
-    assert time.upper_s == pytest.approx(0.5)
+    assert time.high_estimate_s == pytest.approx(0.5)
     for _ in range(50):
-        time.note(0.3)
-        time.note(0.7)
+        time.record(0.3)
+        time.record(0.7)
     assert 0.4 < time.mean_s < 0.6
-    assert time.upper_s > 0.7
+    assert time.high_estimate_s > 0.7
