--- a/tests/controllers/admission/dispatch_stage.py
+++ b/tests/controllers/admission/dispatcher_setup.py
@@ -1,4 +1,4 @@
-"""A dispatcher over real stand-ins, and what tests check of its calls."""
+"""A dispatcher over real stand-in targets, and checks of its answers."""
 
 import asyncio
 import random
@@ -23,15 +23,15 @@
 ENGINE_SERVICE, PLAIN_SERVICE = "asesor", "cotizador"
 
 
-class Bench(NamedTuple):
-    """A dispatcher with two targets that share one list of faults to come."""
+class DispatcherSetup(NamedTuple):
+    """A dispatcher with targets that share one list of injected faults."""
 
     dispatcher: Dispatcher
     board: Blackboard
     targets: Sequence[StandInTarget]
 
     def runs(self) -> int:
-        """Return how many calls truly ran, by the targets' own ledgers."""
+        """Return how many calls ran, counted by the targets themselves."""
         return sum(len(target.runs) for target in self.targets)  # type: ignore[attr-defined]
 
 
@@ -54,9 +54,9 @@
 
 
 @asynccontextmanager
-async def make_bench(
+async def make_setup(
     targets: Sequence[StandInTarget], kind: ServiceKind, *, refusal_is_not_run: bool = True
-) -> AsyncIterator[Bench]:
+) -> AsyncIterator[DispatcherSetup]:
     service = make_service(targets[0].service, kind, refusal_is_not_run)
     board = Blackboard(Identity("n1", "aa", "z", "127.0.0.1:1", "127.0.0.1:2"))
     text = ServiceText({service.name: service}, {})
@@ -83,7 +83,7 @@
         policies = Policies()
         limiter = Limiter(board, policies.limits)
         dispatcher = Dispatcher(board, limiter, client, Observer("n1"), random.Random(1), policies)
-        yield Bench(dispatcher, board, targets)
+        yield DispatcherSetup(dispatcher, board, targets)
         await dispatcher.close()
     for target in targets:
         await target.stop()
@@ -119,9 +119,9 @@
     )
 
 
-async def run(bench: Bench, call: Call) -> Sequence[AnswerLine] | RequestError:
+async def run(setup: DispatcherSetup, call: Call) -> Sequence[AnswerLine] | RequestError:
     answer = AnswerLog()
-    await bench.dispatcher.run(call, answer)
+    await setup.dispatcher.run(call, answer)
     try:
         return [line async for line in answer.read()]
     except RequestError as error:
--- a/tests/controllers/admission/test_crash_watch.py
+++ b/tests/controllers/admission/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""Calls to the services of the text that end their targets."""
+"""Tests of the crash guard for calls to the configured services."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 from samphirecleat.targets import is_listening
 
 from ...crashes.guards import make_guard
-from .dispatch_stage import PLAIN_SERVICE, make_bench, make_call, run
+from .dispatcher_setup import PLAIN_SERVICE, make_call, make_setup, run
 
 SERVER = TargetView("a:1", "svc", "z", "i-1", reachable=True)
 
@@ -28,9 +28,9 @@
         ([SERVER._replace(instance="i-2")], Registered.GONE),
         ([], Registered.GONE),
     ],
-    ids=["ready", "gives no answer", "leaves", "another instance", "not listed"],
+    ids=["ready", "unreachable", "leaving", "another instance", "not listed"],
 )
-def test_what_is_known_of_a_start_of_a_target(
+def test_registration_state_of_a_target_start(
     now: list[TargetView], registered: Registered
 ) -> None:
     board = Blackboard(Identity("n1", "aa", "z", "", ""))
@@ -38,7 +38,7 @@
     assert registration_of(board, start_of(SERVER)) is registered
 
 
-def test_the_other_targets_of_a_service_are_those_that_answer() -> None:
+def test_other_usable_targets_are_the_reachable_ones_of_the_service() -> None:
     board = Blackboard(Identity("n1", "aa", "z", "", ""))
     others = [SERVER._replace(address=f"{n}:1", reachable=n < 2) for n in range(3)]
     board.targets = {view.address: view for view in [SERVER, *others]}
@@ -48,7 +48,7 @@
     ]
 
 
-def test_a_call_has_one_mark_whatever_its_key_and_order_of_its_body() -> None:
+def test_call_mark_depends_on_neither_request_key_nor_body_order() -> None:
     async def scenario() -> None:
         call = make_call(PLAIN_SERVICE, idempotent=True)
         other = call._replace(request_id="other", body=dict(reversed(list(call.body.items()))))
@@ -58,7 +58,7 @@
     asyncio.run(scenario())
 
 
-def guard_of(board: Blackboard) -> CrashGuard:
+def make_crash_guard(board: Blackboard) -> CrashGuard:
     return make_guard(
         CrashLedger(),
         is_listening,
@@ -67,31 +67,34 @@
     )
 
 
-def test_a_call_that_ends_its_targets_is_refused_and_any_other_is_served() -> None:
-    """Each run of a call ends its plain server, and callers send it again and again."""
+def test_a_call_that_crashes_its_targets_is_barred_and_other_calls_run() -> None:
+    """Guards against a call that crashes every server of a service.
+
+    Each run of the call ends its plain server, and callers keep sending it again.
+    """
 
     async def scenario() -> None:
         servers = [StandInPlainService(PLAIN_SERVICE, "z", call_s=0.005) for _ in range(6)]
         call = make_call(PLAIN_SERVICE, idempotent=True)
-        async with make_bench(servers, ServiceKind.PLAIN) as bench:
-            bench.dispatcher._guard = guard_of(bench.board)
+        async with make_setup(servers, ServiceKind.PLAIN) as setup:
+            setup.dispatcher._guard = make_crash_guard(setup.board)
             for server in servers:
                 server.ends_on.add(str(call.body["prompt"]))
             kinds: list[ErrorKind] = []
             while sum(len(server.ends) for server in servers) < 3:
-                outcome = await run(bench, call)
+                outcome = await run(setup, call)
                 assert isinstance(outcome, RequestError)
                 kinds.append(outcome.kind)
             assert set(kinds) <= {ErrorKind.OUTCOME_UNKNOWN}
-            held = await run(bench, call)
+            held = await run(setup, call)
             assert isinstance(held, RequestError)
             assert (held.kind, held.ran) == (ErrorKind.CRASH_SUSPECTED, Ran.NO)
             await asyncio.sleep(1.05)
-            refused = await run(bench, call)
+            refused = await run(setup, call)
             assert isinstance(refused, RequestError)
             assert (refused.kind, refused.ran) == (ErrorKind.CRASHES_TARGETS, Ran.UNKNOWN)
             other = call._replace(body={**call.body, "prompt": "another"})
-            assert not isinstance(await run(bench, other), RequestError)
+            assert not isinstance(await run(setup, other), RequestError)
             assert sum(len(server.ends) for server in servers) == 3
 
     asyncio.run(scenario())
--- a/tests/controllers/admission/test_dispatcher.py
+++ b/tests/controllers/admission/test_dispatcher.py
@@ -1,4 +1,7 @@
-"""Calls through the dispatcher to real stand-ins, fault by fault, against their ledgers."""
+"""Calls through the dispatcher to stand-in targets under faults.
+
+The number of runs is checked against the targets' own records.
+"""
 
 import asyncio
 
@@ -7,7 +10,7 @@
 from samphirecleat.config import ServiceKind
 from samphirecleat.errors import ErrorKind, Ran, RequestError
 
-from .dispatch_stage import (
+from .dispatcher_setup import (
     ENGINE_SERVICE,
     FAILED,
     PERIOD_S,
@@ -16,8 +19,8 @@
     check_error,
     check_generation,
     engines,
-    make_bench,
     make_call,
+    make_setup,
     plain_services,
     run,
 )
@@ -45,24 +48,24 @@
     idempotent: bool,
     streamed: bool,
 ) -> None:
-    """An engine refuses, fails, or its answer is lost, garbled, cut short or silent.
+    """An engine refuses or fails, or its answer is lost, garbled, truncated or stalled.
 
-    An idempotent call is answered by the other engine unless its caller holds a
-    part of the first answer; any other one ends at once, and runs no second time.
+    An idempotent call is retried at the other engine unless part of the first answer
+    has been passed on; any other call ends with an error and never runs twice.
     """
 
     async def scenario() -> None:
-        async with make_bench(engines(), ServiceKind.ENGINE) as bench:
-            bench.targets[0].next_faults[:] = [fault] if fault else []
+        async with make_setup(engines(), ServiceKind.ENGINE) as setup:
+            setup.targets[0].next_faults[:] = [fault] if fault else []
             call = make_call(ENGINE_SERVICE, idempotent=idempotent, streamed=streamed)
-            outcome = await run(bench, call)
+            outcome = await run(setup, call)
             passed_on = streamed and fault in ("lose", "garble", "truncate", "silent")
             if error_if_not is None or (idempotent and not passed_on):
                 check_generation(outcome)
-                assert bench.runs() == runs_if_repeated
+                assert setup.runs() == runs_if_repeated
             else:
                 check_error(outcome, error_if_not, Ran.UNKNOWN)
-                assert bench.runs() <= 1
+                assert setup.runs() <= 1
 
     asyncio.run(scenario())
 
@@ -89,180 +92,182 @@
     error_if_not: ErrorKind | None,
     idempotent: bool,
 ) -> None:
-    """A plain service refuses, fails, or its answer is lost, garbled, cut short or silent.
+    """A plain service refuses or fails, or its answer is lost, garbled, truncated or stalled.
 
-    A reminder that may not be sent twice runs once at most, and its caller learns
-    that nobody knows whether it went out.
+    A call that is not idempotent runs at most once, and its caller learns that the
+    outcome is unknown.
     """
 
     async def scenario() -> None:
         services = plain_services(tells_status=tells_status)
-        async with make_bench(services, ServiceKind.PLAIN) as bench:
+        async with make_setup(services, ServiceKind.PLAIN) as setup:
             services[0].next_faults[:] = [fault] if fault else []
             call = make_call(PLAIN_SERVICE, idempotent=idempotent, deadline_in_s=2.5)
-            outcome = await run(bench, call)
+            outcome = await run(setup, call)
             if error_if_not is None or idempotent:
                 assert not isinstance(outcome, RequestError), outcome
                 assert outcome[-1]["result"]["echo"]["prompt"] == "a quote"
-                assert bench.runs() == runs_if_repeated
+                assert setup.runs() == runs_if_repeated
             else:
                 check_error(outcome, error_if_not, Ran.UNKNOWN)
-                assert bench.runs() <= 1
+                assert setup.runs() <= 1
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(("is_not_run", "ran"), [(True, Ran.NO), (False, Ran.UNKNOWN)])
 @pytest.mark.parametrize("kind", [ServiceKind.ENGINE, ServiceKind.PLAIN])
-def test_a_refusal_is_not_run_only_where_the_text_says_so(
+def test_a_refusal_counts_as_not_run_only_if_configured(
     kind: ServiceKind, is_not_run: bool, ran: Ran
 ) -> None:
-    """Both targets refuse with 503. Some services do so after they have begun."""
+    """Both targets refuse with 503, which some services send after starting the work."""
 
     async def scenario() -> None:
         targets = engines() if kind is ServiceKind.ENGINE else plain_services()
-        async with make_bench(targets, kind, refusal_is_not_run=is_not_run) as bench:
+        async with make_setup(targets, kind, refusal_is_not_run=is_not_run) as setup:
             targets[0].next_faults[:] = ["refuse", "refuse"]
-            outcome = await run(bench, make_call(targets[0].service, idempotent=False))
+            outcome = await run(setup, make_call(targets[0].service, idempotent=False))
             assert isinstance(outcome, RequestError)
             assert outcome.ran is ran
-            assert bench.runs() == 0
+            assert setup.runs() == 0
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_one_target_that_refuses_connections_costs_nothing(idempotent: bool) -> None:
-    """A target's process has died and nobody has noticed yet."""
+def test_a_target_that_refuses_connections_fails_no_call(idempotent: bool) -> None:
+    """A target's process has died and its health state is not updated yet."""
 
     async def scenario() -> None:
         services = plain_services()
-        async with make_bench(services, ServiceKind.PLAIN) as bench:
+        async with make_setup(services, ServiceKind.PLAIN) as setup:
             await services[0].stop()
             for _ in range(6):
-                outcome = await run(bench, make_call(PLAIN_SERVICE, idempotent=idempotent))
+                outcome = await run(setup, make_call(PLAIN_SERVICE, idempotent=idempotent))
                 assert not isinstance(outcome, RequestError), outcome
             assert len(services[1].runs) == 6
 
     asyncio.run(scenario())
 
 
-def test_when_no_target_can_be_reached_the_call_was_not_run() -> None:
+def test_a_call_is_not_run_when_no_target_is_reachable() -> None:
     async def scenario() -> None:
         services = plain_services()
-        async with make_bench(services, ServiceKind.PLAIN) as bench:
+        async with make_setup(services, ServiceKind.PLAIN) as setup:
             for service in services:
                 await service.stop()
-            outcome = await run(bench, make_call(PLAIN_SERVICE, idempotent=False))
+            outcome = await run(setup, make_call(PLAIN_SERVICE, idempotent=False))
             check_error(outcome, ErrorKind.NO_TARGET, Ran.NO)
 
     asyncio.run(scenario())
 
 
-def test_a_refusal_after_an_attempt_that_may_have_run_is_unknown() -> None:
-    """The first target loses the answer and every other one refuses the repeat."""
+def test_a_refusal_after_an_attempt_that_may_have_run_is_outcome_unknown() -> None:
+    """The first target loses the answer and the other one refuses the retry."""
 
     async def scenario() -> None:
         services = plain_services()
-        async with make_bench(services, ServiceKind.PLAIN) as bench:
+        async with make_setup(services, ServiceKind.PLAIN) as setup:
             services[0].next_faults[:] = ["lose", "refuse"]
-            outcome = await run(bench, make_call(PLAIN_SERVICE, idempotent=True))
+            outcome = await run(setup, make_call(PLAIN_SERVICE, idempotent=True))
             check_error(outcome, ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN)
-            assert bench.runs() == 1
+            assert setup.runs() == 1
 
     asyncio.run(scenario())
 
 
-def test_a_kept_connection_gone_silent_loses_no_call_that_may_not_be_repeated() -> None:
-    """Something between node and target forgets the kept connections between two calls.
+def test_a_stale_keep_alive_connection_loses_no_non_idempotent_call() -> None:
+    """A middlebox silently drops idle keep-alive connections between two calls.
 
-    A call that is sent on such a connection is lost in a way that nobody can tell
-    from a call that ran; one that may not be repeated would then be unknown.
+    A call sent on such a connection can't be told from one that ran, so the outcome
+    of a non-idempotent call would be unknown.
     """
 
     async def scenario() -> None:
         services = plain_services()
-        async with make_bench(services[:1], ServiceKind.PLAIN) as bench:
+        async with make_setup(services[:1], ServiceKind.PLAIN) as setup:
             for _ in range(3):
-                outcome = await run(bench, make_call(PLAIN_SERVICE, idempotent=False))
+                outcome = await run(setup, make_call(PLAIN_SERVICE, idempotent=False))
                 assert not isinstance(outcome, RequestError), outcome
                 services[0].silence_open_connections()
-            assert bench.runs() == 3
+            assert setup.runs() == 3
 
     asyncio.run(scenario())
 
 
-def test_the_http_library_repeats_nothing_by_itself() -> None:
-    """The answer is lost on a kept connection, where HTTP clients like to try again.
+def test_the_http_library_does_not_retry_by_itself() -> None:
+    """The answer is lost on a keep-alive connection, where HTTP clients often retry.
 
-    Such a repeat would be seen by nobody but the target: a call run twice.
+    Only the target would see such a retry, and the call would run twice.
     """
 
     async def scenario() -> None:
         services = plain_services()[:1]
-        async with make_bench(services, ServiceKind.PLAIN) as bench:
+        async with make_setup(services, ServiceKind.PLAIN) as setup:
             assert not isinstance(
-                await run(bench, make_call(PLAIN_SERVICE, idempotent=True)), RequestError
+                await run(setup, make_call(PLAIN_SERVICE, idempotent=True)), RequestError
             )
             services[0].next_faults[:] = ["lose"]
-            outcome = await run(bench, make_call(PLAIN_SERVICE, idempotent=True))
+            outcome = await run(setup, make_call(PLAIN_SERVICE, idempotent=True))
             check_error(outcome, ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN)
-            assert bench.runs() == 2
+            assert setup.runs() == 2
 
     asyncio.run(scenario())
 
 
-def test_a_slow_engine_is_waited_for() -> None:
-    """An engine works long on a prompt, and sends nothing for many probe periods."""
+def test_a_slow_prefill_is_not_a_failure() -> None:
+    """An engine spends many probe periods on a prompt before it sends anything."""
 
     async def scenario() -> None:
         slow = engines()
         for engine in slow:
             engine.prefill_s = 5 * PERIOD_S
-        async with make_bench(slow, ServiceKind.ENGINE) as bench:
-            outcome = await run(bench, make_call(ENGINE_SERVICE, idempotent=True))
+        async with make_setup(slow, ServiceKind.ENGINE) as setup:
+            outcome = await run(setup, make_call(ENGINE_SERVICE, idempotent=True))
             check_generation(outcome)
-            assert bench.runs() == 1
+            assert setup.runs() == 1
 
     asyncio.run(scenario())
 
 
-def test_a_queued_generation_is_waited_for() -> None:
-    """The engine's slots are taken, so a call that waits its turn hears nothing."""
+def test_queueing_at_the_engine_is_not_a_failure() -> None:
+    """The engine's slots are taken, so a queued call receives nothing meanwhile."""
 
     async def scenario() -> None:
         (engine, _other) = engines()
         engine.slots = 1
         engine.prefill_s = 4 * PERIOD_S
-        async with make_bench([engine], ServiceKind.ENGINE) as bench:
+        async with make_setup([engine], ServiceKind.ENGINE) as setup:
             calls = [
                 make_call(ENGINE_SERVICE, idempotent=True)._replace(request_id=f"r{number}")
                 for number in range(2)
             ]
-            for outcome in await asyncio.gather(*(run(bench, call) for call in calls)):
+            for outcome in await asyncio.gather(*(run(setup, call) for call in calls)):
                 check_generation(outcome)
-            assert bench.runs() == 2
+            assert setup.runs() == 2
 
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("gone", [True, False])
-def test_a_run_nobody_waits_for_is_cancelled_at_the_engine(gone: bool) -> None:
-    """The deadline passes in mid-generation, or the caller goes away.
+@pytest.mark.parametrize("disconnects", [True, False])
+def test_an_abandoned_run_is_cancelled_at_the_engine(disconnects: bool) -> None:
+    """The deadline passes during generation, or the caller disconnects.
 
-    Left alone, the engine would spend a slot on an answer that nobody reads.
+    Without a cancel, the engine would spend a slot on an answer that is not read.
     """
 
     async def scenario() -> None:
         (engine, _other) = engines()
         engine.token_s = 0.05
-        async with make_bench([engine], ServiceKind.ENGINE) as bench:
-            call = make_call(ENGINE_SERVICE, idempotent=True, deadline_in_s=5.0 if gone else 0.15)
+        async with make_setup([engine], ServiceKind.ENGINE) as setup:
+            call = make_call(
+                ENGINE_SERVICE, idempotent=True, deadline_in_s=5.0 if disconnects else 0.15
+            )
             call = call._replace(body={**call.body, "max_tokens": 200})
-            task = asyncio.create_task(run(bench, call))
+            task = asyncio.create_task(run(setup, call))
             while not engine.runs or not engine.runs[0].spans:
                 await asyncio.sleep(0.005)
-            if gone:
+            if disconnects:
                 task.cancel()
             else:
                 check_error(await task, ErrorKind.DEADLINE_EXCEEDED, Ran.UNKNOWN)
@@ -274,18 +279,18 @@
 
 
 def test_a_deadline_that_passes_in_the_queue_is_not_run() -> None:
-    """This node's window is full with slow calls until another call's deadline."""
+    """Slow calls fill this node's window until the deadline of a queued call."""
 
     async def scenario() -> None:
         services = plain_services()[:1]
         services[0].call_s = 0.6
-        async with make_bench(services, ServiceKind.PLAIN) as bench:
+        async with make_setup(services, ServiceKind.PLAIN) as setup:
             first = [make_call(PLAIN_SERVICE, idempotent=True) for _ in range(16)]
-            tasks = [asyncio.create_task(run(bench, call)) for call in first]
-            while bench.runs() < 8:
+            tasks = [asyncio.create_task(run(setup, call)) for call in first]
+            while setup.runs() < 8:
                 await asyncio.sleep(0.005)
             late = make_call(PLAIN_SERVICE, idempotent=True, deadline_in_s=0.3)
-            outcome = await run(bench, late._replace(request_id="late"))
+            outcome = await run(setup, late._replace(request_id="late"))
             assert isinstance(outcome, RequestError)
             assert outcome.ran is Ran.NO
             assert services[0].runs_by_request["late"] == 0
--- a/tests/controllers/admission/test_limits.py
+++ b/tests/controllers/admission/test_limits.py
@@ -1,4 +1,4 @@
-"""The windows, a caller's admission, and the queue that applies them."""
+"""Tests of the concurrency windows, admission decisions and the queue."""
 
 import asyncio
 
@@ -39,25 +39,37 @@
 @pytest.mark.parametrize(
     ("before", "view", "in_flight", "after"),
     [
-        pytest.param(None, QUIET, Windows(0, 0), 36.0, id="a cold node offers all the room"),
+        pytest.param(None, QUIET, Windows(0, 0), 36.0, id="initial window is all free slots"),
         pytest.param(
-            Windows(5, 4), QUIET._replace(trainer_share=0.2), Windows(0, 0), 7.2, id="its share"
+            Windows(5, 4),
+            QUIET._replace(trainer_share=0.2),
+            Windows(0, 0),
+            7.2,
+            id="idle node keeps its share",
         ),
-        pytest.param(Windows(5, 4), QUIET, Windows(0, 4), 40.0, id="grows while limited"),
-        pytest.param(Windows(5, 8), QUIET, Windows(0, 2), 8.0, id="keeps while not limited"),
+        pytest.param(Windows(5, 4), QUIET, Windows(0, 4), 40.0, id="grows while full"),
+        pytest.param(Windows(5, 8), QUIET, Windows(0, 2), 8.0, id="unchanged while not full"),
         pytest.param(
-            Windows(5, 20), QUIET._replace(in_use=50), Windows(0, 20), 17.0, id="gives way"
+            Windows(5, 20),
+            QUIET._replace(in_use=50),
+            Windows(0, 20),
+            17.0,
+            id="shrinks when overloaded",
         ),
         pytest.param(
-            Windows(5, 1), QUIET._replace(in_use=50), Windows(0, 1), 1.0, id="but not to nothing"
+            Windows(5, 1),
+            QUIET._replace(in_use=50),
+            Windows(0, 1),
+            1.0,
+            id="shrinks to one at least",
         ),
     ],
 )
-def test_how_the_trainers_window_moves(before, view, in_flight, after) -> None:
-    """The evening's callers come later than yesterday, while steps are in progress.
+def test_trainer_window_follows_occupancy(before, view, in_flight, after) -> None:
+    """A peak of callers arrives while trainer steps are in progress.
 
-    If trainers did not give way, quotes would be late; if they did not grow back,
-    the trainer would stand idle after the peak.
+    If the trainers' window did not shrink, callers' answers would be late; if it did
+    not grow again, trainers would be idle after the peak.
     """
     assert next_windows(POLICY, before, view, in_flight).trainers == pytest.approx(after)
 
@@ -69,8 +81,8 @@
     nodes=st.integers(0, 390),
     in_flight=st.integers(0, 500),
 )
-def test_callers_keep_their_even_share(callers, slots, in_use, nodes, in_flight) -> None:
-    """Other nodes fill every target; this node's callers still get their part."""
+def test_caller_window_is_at_least_the_even_share(callers, slots, in_use, nodes, in_flight) -> None:
+    """Other nodes fill every target; this node's callers still get their even share."""
     view = OccupancyView(slots, in_use, nodes, 1.0)
     after = next_windows(POLICY, Windows(callers, 1.0), view, Windows(in_flight, 0)).callers
     assert after >= min(view.node_share, slots)
@@ -84,7 +96,7 @@
         (StaticShare(slack=1.5), Windows(40 / 9 * 1.5, 40 / 9 * 1.5)),
     ],
 )
-def test_the_baselines(policy, expected) -> None:
+def test_baseline_policies(policy, expected) -> None:
     assert next_windows(policy, None, QUIET, Windows(0, 0)) == pytest.approx(expected)
 
 
@@ -101,11 +113,11 @@
         ({"remaining_s": 0.01}, Admit()),
     ],
 )
-def test_a_callers_admission(changes, decision) -> None:
-    """More callers come than targets can answer in time.
+def test_admission_of_a_caller(changes, decision) -> None:
+    """More calls arrive than the targets can answer in time.
 
-    One who can not be answered in time is told at once when to come back, instead
-    of waiting for an answer that is late anyway.
+    A call that can't be answered in time is refused on arrival with a retry delay,
+    instead of waiting for an answer that would be late.
     """
     match decide_admission(VIEW._replace(**changes)), decision:
         case Refuse(retry_after_s=said), Refuse(retry_after_s=expected):
@@ -114,7 +126,7 @@
             assert decided == expected
 
 
-def test_trainers_start_nothing_while_callers_wait() -> None:
+def test_no_trainer_calls_start_while_callers_are_queued() -> None:
     assert free_trainer_slots(Windows(4, 10), callers_queued=0, trainers_in_flight=4) == 6
     assert free_trainer_slots(Windows(4, 10), callers_queued=1, trainers_in_flight=4) == 0
 
@@ -129,8 +141,8 @@
     return Call("quotes", "price", {}, deadline_at_s, priority, True, "id", WorkClass.CALLER)
 
 
-def test_the_queue_goes_by_priority_then_arrival() -> None:
-    """One target is busy when callers of several priorities come at once."""
+def test_queue_order_is_priority_then_arrival() -> None:
+    """The only target is busy when calls of several priorities arrive at once."""
 
     async def scenario() -> list[int]:
         limiter = make_limiter()
@@ -157,10 +169,10 @@
     assert asyncio.run(scenario()) == [8, 8, 5, 2]
 
 
-def test_a_queued_call_without_time_left_is_told_at_once() -> None:
+def test_a_queued_call_is_refused_once_it_can_not_end_in_time() -> None:
     """The target stays busy until a queued call could no longer end in time.
 
-    Its caller hears that it was not run, and does not wait until the deadline.
+    The call is refused as not run before its deadline.
     """
 
     async def scenario() -> None:
@@ -177,8 +189,8 @@
     asyncio.run(scenario())
 
 
-def test_a_caller_who_goes_away_from_the_queue_leaves_no_trace() -> None:
-    """A queued caller closes its connection; the next one must still get the turn."""
+def test_a_cancelled_queued_call_releases_its_slot() -> None:
+    """A queued caller disconnects as its slot is granted; the next call must get the slot."""
 
     async def scenario() -> None:
         limiter = make_limiter()
--- a/tests/controllers/admission/test_retries.py
+++ b/tests/controllers/admission/test_retries.py
@@ -1,4 +1,4 @@
-"""What follows a failed attempt."""
+"""Tests of the retry decision and the retry budget."""
 
 import pytest
 
@@ -32,7 +32,7 @@
         (Failed("", permanent=True), True, False, False, Ran.UNKNOWN),
     ],
 )
-def test_what_is_repeated(
+def test_which_failures_are_retried(
     failure: TargetFailure, idempotent: bool, answer_started: bool, repeats: bool, ran: Ran
 ) -> None:
     call = make_call(idempotent)
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(("attempt", "now_s"), [(MAX_ATTEMPTS, 0.0), (1, 10.0)])
-def test_nothing_is_repeated_for_ever(attempt: int, now_s: float) -> None:
+def test_retries_end_at_max_attempts_and_deadline(attempt: int, now_s: float) -> None:
     decision = decide_retry(
         make_call(True), Lost(""), attempt=attempt, answer_started=False, now_s=now_s
     )
@@ -50,7 +50,7 @@
 
 
 def test_retries_are_a_bounded_share_of_first_attempts() -> None:
-    """All targets of a service fail, and every request would be sent several times."""
+    """All targets of a service fail; without a budget every call is sent several times."""
     budget = RetryBudget(0.2, 20.0)
     retries = 0
     for _ in range(1_000):
--- a/tests/controllers/admission/test_routing.py
+++ b/tests/controllers/admission/test_routing.py
@@ -1,4 +1,4 @@
-"""The choice of a target from lagged reports."""
+"""Tests of target selection from delayed reports."""
 
 import random
 
@@ -36,10 +36,10 @@
 @pytest.mark.parametrize(
     "changes", [{"leaving": True}, {"loading": True}, {"reachable": False}], ids=str
 )
-def test_a_target_that_may_not_get_work_gets_none(policy, changes) -> None:
-    """A target leaves, swaps its weights, or refuses connections.
+def test_an_unusable_target_gets_no_calls(policy, changes) -> None:
+    """A target is leaving, is loading weights, or is unreachable.
 
-    New work sent there would be cut off or answered by half-loaded weights.
+    Calls sent there would be cut off or answered by partly loaded weights.
     """
     out, other = make_target(1, **changes), make_target(2, running=8, waiting=9)
     for prompt in ("a", "b", "c", "d"):
@@ -48,7 +48,7 @@
     assert choose(policy, [other], excluded=[other.address]) is None
 
 
-def test_one_prefix_meets_in_one_target_whatever_node_asks() -> None:
+def test_a_prefix_maps_to_the_same_target_at_every_node() -> None:
     targets = [make_target(n) for n in range(5)]
     for number in range(20):
         prompt = f"shared instructions {number}".ljust(32)
@@ -60,10 +60,10 @@
         assert len(chosen) == 1
 
 
-def test_a_popular_prefix_is_passed_on_when_its_target_is_full() -> None:
-    """Every client of one campaign sends the same long instructions.
+def test_a_popular_prefix_overflows_when_its_target_is_full() -> None:
+    """All clients send the same long prompt prefix.
 
-    Without the bound one engine would have a queue while the others stand idle.
+    Without the load bound one engine would build up a queue while others are idle.
     """
     targets = [make_target(n) for n in range(5)]
     first = choose(PrefixAffinity(), targets, prompt="popular")
@@ -73,21 +73,21 @@
     assert chosen.address != first.address
 
 
-def test_a_slow_target_gets_less_than_its_report_would_bring() -> None:
-    """An engine runs three times slower than its peers while it reports little load."""
+def test_a_slow_target_counts_as_more_loaded_than_reported() -> None:
+    """An engine is three times slower than its peers although its reported load is low."""
     targets = [make_target(1), make_target(2)]
     slowdown = {targets[0].address: 3.0}
     assert choose(TwoChoices(), targets, slowdown=slowdown) == targets[1]
 
 
-def test_an_old_report_gives_way_to_what_this_node_sent() -> None:
-    """Reports stand still for five seconds; this node has sent calls meanwhile."""
+def test_own_calls_outweigh_an_old_report() -> None:
+    """A report is five seconds old and this node has sent calls since."""
     targets = [make_target(1, reported_at_s=NOW_S - 5.0), make_target(2, running=2)]
     own = {targets[0].address: 4}
     assert choose(TwoChoices(), targets, own_in_flight=own) == targets[1]
 
 
-def test_pace_is_told_against_the_median_and_forgotten() -> None:
+def test_slowdown_is_relative_to_the_median_and_expires() -> None:
     tracker = LatencyTracker()
     for number, duration_s in enumerate((0.1, 0.1, 0.4)):
         tracker.record(f"t{number}", duration_s, 10, NOW_S)
@@ -96,7 +96,7 @@
     assert tracker.slowdowns(addresses, NOW_S + 60.0) == {}
 
 
-def test_service_time_follows_the_first_call_at_once() -> None:
+def test_service_time_adopts_the_first_duration() -> None:
     time = ServiceTime()
     time.record(0.5)
     assert time.mean_s == pytest.approx(0.5)
