--- a/samphirecleat/bench/_crashes.py
+++ b/samphirecleat/bench/_crashes.py
@@ -207,14 +207,14 @@
         return beat
 
     def _tell(self, number: int, other: int, now_s: float, *, answers: bool) -> None:
-        message = self._nodes[number].news.load(_EMPTY, now_s)
+        message = self._nodes[number].news.add_updates(_EMPTY, now_s)
         if message.crashes:
             self._count_bytes(now_s, len(self._codec.pack(message)) - self._plain_bytes)
         if self._network.random() < LOST_DATAGRAMS:
             return
 
         def arrive(at_s: float) -> None:
-            self._nodes[other].news.unload(message, at_s)
+            self._nodes[other].news.apply_updates(message, at_s)
             if answers:
                 self._tell(other, number, at_s, answers=False)
 
--- a/samphirecleat/bench/_member_fleet.py
+++ b/samphirecleat/bench/_member_fleet.py
@@ -77,7 +77,7 @@
             heartbeat_s=self._timings.heartbeat_s,
             suspect_after_s=self._timings.suspect_after_s,
             rng=self._rng,
-            riders=[self.watch],
+            piggyback_sources=[self.watch],
         )
         self._udp, _protocol = await loop.create_datagram_endpoint(
             lambda: self.membership, local_addr=("127.0.0.1", 0)
--- a/samphirecleat/controllers/membership/__init__.py
+++ b/samphirecleat/controllers/membership/__init__.py
@@ -8,17 +8,17 @@
 
 if TYPE_CHECKING:
     from ._discovery import Discovery
-    from ._drain import Drain, longest_drain_s
+    from ._drain import Drain, max_drain_s
 
 __all__ = [
     "Discovery",
     "Drain",
     "MemberTable",
     "Membership",
-    "longest_drain_s",
+    "max_drain_s",
 ]
 
 # Heartbeats work without these, which need the settings and the host list.
 __getattr__ = lazy_exports(
-    __name__, {"Discovery": "_discovery", "Drain": "_drain", "longest_drain_s": "_drain"}
+    __name__, {"Discovery": "_discovery", "Drain": "_drain", "max_drain_s": "_drain"}
 )
--- a/samphirecleat/controllers/membership/_discovery.py
+++ b/samphirecleat/controllers/membership/_discovery.py
@@ -38,7 +38,7 @@
     return period_s * max(1.0, node_count / READERS_AT_ONCE)
 
 
-class ListedNews:
+class HostListTable:
     """The list as this node knows it, and the changes that it passes on. Pure."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
         self.rows: dict[str, ListedRow] = {}
         self._untold: OrderedDict[str, int] = OrderedDict()
 
-    def read(self, rows: Sequence[ListedHost], now_s: float) -> None:
+    def update(self, rows: Sequence[ListedHost], now_s: float) -> None:
         """Take in a list that this node read itself."""
         fresh = {row.address: row for row in rows}
         for address in set(fresh) | set(self.rows):
@@ -57,13 +57,13 @@
             if listed.row is not None or listed.read_at_s > now_s - REMEMBER_GONE_S
         }
 
-    def hear(self, change: ListedChange, now_s: float) -> None:
+    def apply_change(self, change: ListedChange, now_s: float) -> None:
         """Take in what another node read, unless this node has a later reading."""
         row = ListedHost(change.address, change.service, change.zone, change.leaving)
         read_at_s = now_s - change.age_ms / 1000.0
         self._note(change.address, row if change.present else None, read_at_s)
 
-    def tell(self, now_s: float) -> Sequence[ListedChange]:
+    def take_changes(self, now_s: float) -> Sequence[ListedChange]:
         """Return changes for one datagram."""
         told = list(self._untold)[:CHANGES_PER_MESSAGE]
         for address in told:
@@ -72,7 +72,7 @@
                 del self._untold[address]
         return [self._change(address, now_s) for address in told]
 
-    def present(self) -> Sequence[ListedHost]:
+    def present_rows(self) -> Sequence[ListedHost]:
         """Return the rows that are on the list."""
         return [listed.row for listed in self.rows.values() if listed.row is not None]
 
@@ -113,7 +113,7 @@
         self._peers = peers
         self._doubted_since_s: float | None = None
         self._asked_anew = asyncio.Event()
-        self.news = ListedNews()
+        self.table = HostListTable()
 
     async def drive(self) -> None:
         """Read the list for as long as the node lives."""
@@ -132,7 +132,7 @@
             # Jitter: nodes that read together would find the same change together.
             await wait_for_event(self._asked_anew, period_s * (0.75 + 0.5 * self._rng.random()))
 
-    def ask_anew(self) -> None:
+    def request_refresh(self) -> None:
         """Read the list at once, or ask other nodes for it, after a pause of this process."""
         self._asked_anew.set()
 
@@ -155,7 +155,7 @@
         now_s = asyncio.get_running_loop().time()
         for row in told.values():
             change = ListedChange(row.address, row.service, row.zone, row.leaving, True, 0)
-            self.news.hear(change, now_s)
+            self.table.apply_change(change, now_s)
         if told:
             self._write()
             self._board.listed_at_s = now_s
@@ -167,31 +167,31 @@
         except PeerUnavailableError:
             return ()
 
-    def load(self, message: Message, now_s: float) -> Message:
+    def add_updates(self, message: Message, now_s: float) -> Message:
         """Put changes of the list into a datagram to other nodes."""
-        return message._replace(listed=self.news.tell(now_s))
+        return message._replace(listed=self.table.take_changes(now_s))
 
-    def unload(self, message: Message, now_s: float) -> None:
+    def apply_updates(self, message: Message, now_s: float) -> None:
         """Take in changes that another node read."""
         if not message.listed:
             return
         for change in message.listed:
-            self.news.hear(change, now_s)
+            self.table.apply_change(change, now_s)
         self._write()
 
     def _take(self, told: Sequence[ListedHost], now_s: float) -> None:
-        believed = believe_rows(self.news.present(), told, self._doubted_since_s, now_s)
+        believed = believe_rows(self.table.present_rows(), told, self._doubted_since_s, now_s)
         if believed.doubted_since_s is not None and self._doubted_since_s is None:
             self._observer.log("hosts").warning(
                 "The list fell to %d rows; the old ones are kept for now.", len(told)
             )
         self._doubted_since_s = believed.doubted_since_s
-        self.news.read(believed.rows, now_s)
+        self.table.update(believed.rows, now_s)
         self._write()
         self._board.listed_at_s = now_s
 
     def _write(self) -> None:
-        rows = self.news.present()
+        rows = self.table.present_rows()
         listed_targets = _targets(rows)
         self._board.listed_nodes = [row.address for row in rows if row.service == ENTRY_SERVICE]
         if listed_targets != self._board.listed_targets:
--- a/samphirecleat/controllers/membership/_drain.py
+++ b/samphirecleat/controllers/membership/_drain.py
@@ -19,7 +19,7 @@
     """What one step of a drain is decided from.
 
     ``spread_s`` is how long other nodes may still hand out this one; after that
-    and ``entry_ttl_s`` no caller's kept entry list names it. ``longest_s`` is the
+    and ``entry_ttl_s`` no caller's kept entry list names it. ``max_deadline_s`` is the
     longest deadline that a request may have. ``in_flight`` counts requests, forwarded calls and
     runs; ``undelivered`` tells of samples that a trainer has yet to pull.
     """
@@ -27,7 +27,7 @@
     began_at_s: float
     entry_ttl_s: float
     spread_s: float
-    longest_s: float
+    max_deadline_s: float
     in_flight: int
     undelivered: bool
     last_busy_at_s: float
@@ -63,7 +63,7 @@
     unnamed_from_s = view.began_at_s + view.entry_ttl_s + view.spread_s
     if now_s < unnamed_from_s:
         return ServeAll()
-    if now_s >= unnamed_from_s + view.longest_s:
+    if now_s >= unnamed_from_s + view.max_deadline_s:
         return Stop(view.in_flight)
     busy = view.in_flight > 0 or view.undelivered
     if busy or now_s - view.last_busy_at_s < QUIET_S:
@@ -71,7 +71,7 @@
     return Stop(0)
 
 
-def longest_drain_s(timings: Timings) -> float:
+def max_drain_s(timings: Timings) -> float:
     """Return how long a drain can take at most, with some room for the stop itself."""
     spread_s = SPREAD_HEARTBEATS * timings.heartbeat_s
     return timings.entry_ttl_s + spread_s + timings.max_deadline_s + STOP_ROOM_S
@@ -90,7 +90,7 @@
         undelivered: Callable[[], bool],
         entry_ttl_s: float,
         heartbeat_s: float,
-        longest_s: float,
+        max_deadline_s: float,
     ) -> None:
         """Tell the other nodes by ``announce``; ask the rest what is still to do."""
         self._board = board
@@ -100,7 +100,7 @@
         self._undelivered = undelivered
         self._entry_ttl_s = entry_ttl_s
         self._spread_s = SPREAD_HEARTBEATS * heartbeat_s
-        self._longest_s = longest_s
+        self._longest_s = max_deadline_s
 
     async def run(self) -> None:
         """Leave the entry list, finish everything, and return."""
@@ -131,7 +131,7 @@
             began_at_s=began_at_s,
             entry_ttl_s=self._entry_ttl_s,
             spread_s=self._spread_s,
-            longest_s=self._longest_s,
+            max_deadline_s=self._longest_s,
             in_flight=self._in_flight(),
             undelivered=self._undelivered(),
             last_busy_at_s=last_busy_at_s,
--- a/samphirecleat/controllers/membership/_gossip.py
+++ b/samphirecleat/controllers/membership/_gossip.py
@@ -95,7 +95,7 @@
         self._tell(own.incarnation)
         return self._probe_next(LEAVE_FAN_OUT, now_s)
 
-    def say_gone(self, now_s: float) -> Sequence[Outgoing]:
+    def announce_exit(self, now_s: float) -> Sequence[Outgoing]:
         """Return the last words of a process that ends."""
         peers = self._random_alive(LEAVE_FAN_OUT)
         return [
--- a/samphirecleat/controllers/membership/_membership.py
+++ b/samphirecleat/controllers/membership/_membership.py
@@ -13,14 +13,14 @@
 START_JITTER: Final = 0.2
 
 
-class Rider(Protocol):
+class PiggybackSource(Protocol):
     """Another part whose news rides on the datagrams."""
 
-    def load(self, message: Message, now_s: float) -> Message:
+    def add_updates(self, message: Message, now_s: float) -> Message:
         """Return the message with this part's news put in."""
         ...
 
-    def unload(self, message: Message, now_s: float) -> None:
+    def apply_updates(self, message: Message, now_s: float) -> None:
         """Take this part's news out of a message that arrived."""
         ...
 
@@ -43,7 +43,7 @@
         heartbeat_s: float,
         suspect_after_s: float,
         rng: random.Random | None = None,
-        riders: Sequence[Rider] = (),
+        piggyback_sources: Sequence[PiggybackSource] = (),
     ) -> None:
         """Ask ``own_row`` for this node's row at each heartbeat."""
         self._board = board
@@ -53,7 +53,7 @@
         self._seeds = seeds
         self._heartbeat_s = heartbeat_s
         self._rng = rng or random.Random()
-        self._riders = riders
+        self._piggyback_sources = piggyback_sources
         self._transport: asyncio.DatagramTransport | None = None
         self._told_revision = board.config.revision
         self.gossip = Gossip(
@@ -80,8 +80,8 @@
         now_s = asyncio.get_running_loop().time()
         outgoing = self.gossip.receive(message, now_s)
         if not self.gossip.is_deaf(now_s):
-            for rider in self._riders:
-                rider.unload(message, now_s)
+            for source in self._piggyback_sources:
+                source.apply_updates(message, now_s)
         self._write_members()
         self._send(outgoing, now_s)
 
@@ -108,10 +108,10 @@
         self._write_members()
         self._send(outgoing, now_s)
 
-    def say_gone(self) -> None:
+    def announce_exit(self) -> None:
         """Tell several members that this process ends now."""
         now_s = asyncio.get_running_loop().time()
-        self._send(self.gossip.say_gone(now_s), now_s)
+        self._send(self.gossip.announce_exit(now_s), now_s)
 
     def _write_members(self) -> None:
         table = self.gossip.table
@@ -139,8 +139,8 @@
         if transport is None or transport.is_closing():
             return
         for address, message in outgoing:
-            for rider in self._riders:
-                message = rider.load(message, now_s)
+            for source in self._piggyback_sources:
+                message = source.add_updates(message, now_s)
             datagram = self._codec.pack(message)
             self._observer.counters["member_bytes_sent"] += len(datagram)
             self._observer.counters["member_datagrams_sent"] += 1
--- a/samphirecleat/controllers/targets/_target_news.py
+++ b/samphirecleat/controllers/targets/_target_news.py
@@ -79,11 +79,11 @@
             self._untold[view.address] = 3 + math.ceil(math.log2(len(self.heard) + 1))
         return is_news
 
-    def load(self, message: Message, now_s: float) -> Message:
+    def add_updates(self, message: Message, now_s: float) -> Message:
         """Return the message with rows and loads put in."""
         return message._replace(targets=self._rows(now_s), loads=self._loads(now_s))
 
-    def unload_loads(self, loads: Sequence[TargetLoad], now_s: float) -> None:
+    def apply_loads(self, loads: Sequence[TargetLoad], now_s: float) -> None:
         """Take in loads; one of a target that this node knows otherwise is passed over."""
         for load in loads:
             address = self._by_key.get(load.key)
--- a/samphirecleat/controllers/targets/_target_watch.py
+++ b/samphirecleat/controllers/targets/_target_watch.py
@@ -177,15 +177,15 @@
             self._refused.add(address)
             self._board.targets[address] = known._replace(reachable=False)
 
-    def load(self, message: Message, now_s: float) -> Message:
+    def add_updates(self, message: Message, now_s: float) -> Message:
         """Put this part's news into a datagram to other nodes."""
-        return self.news.load(message, now_s)
+        return self.news.add_updates(message, now_s)
 
-    def unload(self, message: Message, now_s: float) -> None:
+    def apply_updates(self, message: Message, now_s: float) -> None:
         """Take in what another node tells of targets."""
         for row in message.targets:
             self._hear(row, now_s)
-        self.news.unload_loads(message.loads, now_s)
+        self.news.apply_loads(message.loads, now_s)
         self._write([address for address in self.news.changed if address in self._wanted])
 
     def _hear(self, row: TargetRow, now_s: float) -> None:
--- a/samphirecleat/crashes/_news.py
+++ b/samphirecleat/crashes/_news.py
@@ -45,7 +45,7 @@
         if self._ledger.recall_answer(mark, now_s):
             self.tell(mark)
 
-    def load(self, message: Message, now_s: float) -> Message:
+    def add_updates(self, message: Message, now_s: float) -> Message:
         """Return the message with the next news put in."""
         if not self._untold:
             return message
@@ -59,7 +59,7 @@
                 rows.append(row)
         return message._replace(crashes=rows)
 
-    def unload(self, message: Message, now_s: float) -> None:
+    def apply_updates(self, message: Message, now_s: float) -> None:
         """Take in what a datagram tells, and pass on what of it is new."""
         for row in message.crashes:
             ended_s = now_s - row.ended_age_ms / 1000.0
--- a/samphirecleat/daemon.py
+++ b/samphirecleat/daemon.py
@@ -8,7 +8,7 @@
 import aiomisc
 
 from ._jsonc import DocumentError
-from .controllers.membership import longest_drain_s
+from .controllers.membership import max_drain_s
 from .node import Node
 from .observe import make_formatter
 from .settings import Settings, read_settings
@@ -43,7 +43,7 @@
 
 
 def _run(settings: Settings) -> None:
-    shutdown_timeout_s = longest_drain_s(settings.timings)
+    shutdown_timeout_s = max_drain_s(settings.timings)
     _configure_logs(settings)
     with aiomisc.entrypoint(
         NodeService(node=Node(settings)),
--- a/samphirecleat/node.py
+++ b/samphirecleat/node.py
@@ -78,13 +78,13 @@
             undelivered=lambda: self.steps.undelivered(asyncio.get_running_loop().time()),
             entry_ttl_s=timings.entry_ttl_s,
             heartbeat_s=timings.heartbeat_s,
-            longest_s=timings.max_deadline_s,
+            max_deadline_s=timings.max_deadline_s,
         )
         await drain.run()
 
     async def stop(self) -> None:
         """Stop at once; call :meth:`drain` first to cut nothing off."""
-        self.membership.say_gone()
+        self.membership.announce_exit()
         self._peer_server.stop()
         for task in self._tasks:
             task.cancel()
@@ -186,7 +186,7 @@
         )
         self.target_watch = TargetWatch(board, client, timings.watch_s, self._rng)
         self.dispatcher.on_connection_refused = self.target_watch.note_refused
-        self.target_watch.on_pause = self.discovery.ask_anew
+        self.target_watch.on_pause = self.discovery.request_refresh
         self.membership = Membership(
             board,
             HeartbeatCodec(settings.shared_key),
@@ -196,7 +196,7 @@
             heartbeat_s=timings.heartbeat_s,
             suspect_after_s=timings.suspect_after_s,
             rng=self._rng,
-            riders=[self.target_watch, self.discovery, self._crash_news],
+            piggyback_sources=[self.target_watch, self.discovery, self._crash_news],
         )
         self.weights = WeightCoordinator(
             board,
@@ -253,7 +253,7 @@
             self.callers.status_of,
             lambda: self.board.config,
             self.own_report,
-            self.discovery.news.present,
+            self.discovery.table.present_rows,
         )
         self._grpc = Server([self._peer_server])
         peer_host, peer_port = _split_address(settings.peer_address)
--- a/samphirecleat/platform/_platform_node.py
+++ b/samphirecleat/platform/_platform_node.py
@@ -127,7 +127,7 @@
             heartbeat_s=HEARTBEAT_S,
             suspect_after_s=SUSPECT_AFTER_S,
             rng=self._rng,
-            riders=[self._crashes.news],
+            piggyback_sources=[self._crashes.news],
         )
         await self._listen()
         for work in (
@@ -194,7 +194,7 @@
 
     async def stop(self) -> None:
         """End every task and connection."""
-        self._membership.say_gone()
+        self._membership.announce_exit()
         for task in self._tasks:
             task.cancel()
         await self._listeners.close()
--- a/tests/controllers/membership/test_drain.py
+++ b/tests/controllers/membership/test_drain.py
@@ -19,7 +19,7 @@
     began_at_s=100.0,
     entry_ttl_s=5.0,
     spread_s=4.0,
-    longest_s=60.0,
+    max_deadline_s=60.0,
     in_flight=0,
     undelivered=False,
     last_busy_at_s=100.0,
@@ -64,7 +64,7 @@
             undelivered=lambda: False,
             entry_ttl_s=0.05,
             heartbeat_s=0.01,
-            longest_s=30.0,
+            max_deadline_s=30.0,
         )
         task = asyncio.create_task(drain.run())
         while board.accepting:
--- a/tests/controllers/targets/test_target_watch.py
+++ b/tests/controllers/targets/test_target_watch.py
@@ -7,7 +7,7 @@
 
 from samphirecleat.blackboard import Blackboard, Identity, MemberView, TargetView
 from samphirecleat.config import read_service_text
-from samphirecleat.controllers.membership._discovery import ListedNews, reading_period_s
+from samphirecleat.controllers.membership._discovery import HostListTable, reading_period_s
 from samphirecleat.controllers.targets._target_news import TargetNews, make_row, view_of_row
 from samphirecleat.controllers.targets._target_watch import (
     FALLBACK_POLLS,
@@ -94,8 +94,8 @@
     """Routing discounts a report by its age, which must count the way round too."""
     teller, hearer = news_with(SEEN, 100.0), news_with(SEEN, 99.0)
     teller.note(SEEN._replace(running=5, reported_at_s=100.7), 101.0, 101.0)
-    message = teller.load(ping(), 101.5)
-    hearer.unload_loads(message.loads, 201.5)
+    message = teller.add_updates(ping(), 101.5)
+    hearer.apply_loads(message.loads, 201.5)
     heard = hearer.heard[ADDRESS]
     assert heard.view.running == 5
     assert heard.polled_at_s == pytest.approx(201.0, abs=0.01)
@@ -107,7 +107,7 @@
     teller, hearer = news_with(SEEN, 100.0), news_with(SEEN, 100.0)
     hearer.note(SEEN._replace(instance="boot-2", running=1), 100.5, 100.5)
     teller.note(SEEN._replace(running=5), 101.0, 101.0)
-    hearer.unload_loads(teller.load(ping(), 101.0).loads, 101.0)
+    hearer.apply_loads(teller.add_updates(ping(), 101.0).loads, 101.0)
     assert hearer.heard[ADDRESS].view.running == 1
 
 
@@ -120,8 +120,8 @@
     """
     teller, hearer = news_with(SEEN, 100.0), news_with(SEEN, 100.0)
     teller.note(SEEN._replace(**changes), 101.0, 101.0)
-    message = teller.load(ping(), 101.0)
-    hearer.unload_loads(message.loads, 101.0)
+    message = teller.add_updates(ping(), 101.0)
+    hearer.apply_loads(message.loads, 101.0)
     assert hearer.heard[ADDRESS].polled_at_s == 100.0
     row = make_row(teller.heard[ADDRESS], 101.0)
     assert hearer.note(view_of_row(row, SEEN, 101.0), 101.0 - row.poll_age_ms / 1000.0, 101.0)
@@ -133,7 +133,7 @@
     news = TargetNews()
     for index in range(600):
         news.note(SEEN._replace(address=f"10.0.0.{index}:1"), 100.0, 100.0)
-    message = news.load(ping(), 100.0)
+    message = news.add_updates(ping(), 100.0)
     assert len(message.loads) + len(message.targets) <= 25
 
 
@@ -181,7 +181,7 @@
         assert board.targets[ADDRESS].usable
         asked = answers.asked
         row = make_row(watch.news.heard[ADDRESS], now_s)
-        watch.unload(ping(row._replace(reachable=False, poll_age_ms=0)), now_s + 0.1)
+        watch.apply_updates(ping(row._replace(reachable=False, poll_age_ms=0)), now_s + 0.1)
         await watch.poll_once()
         assert answers.asked == asked + 1
         assert board.targets[ADDRESS].usable
@@ -201,7 +201,9 @@
         await watch.poll_once()
         assert not board.targets[ADDRESS].usable
         answers.reachable = True
-        watch.unload(ping(make_row(watch.news.heard[ADDRESS], 0.0)._replace(reachable=True)), 1.0)
+        watch.apply_updates(
+            ping(make_row(watch.news.heard[ADDRESS], 0.0)._replace(reachable=True)), 1.0
+        )
         await watch.poll_once()
         assert board.targets[ADDRESS].usable
 
@@ -263,7 +265,7 @@
         teller = news_with(heard.view._replace(running=3), heard.polled_at_s)
         told_at_s = heard.polled_at_s + 1.0
         teller.note(heard.view._replace(running=4), told_at_s, told_at_s)
-        watch.unload(teller.load(ping(), told_at_s)._replace(targets=[]), told_at_s)
+        watch.apply_updates(teller.add_updates(ping(), told_at_s)._replace(targets=[]), told_at_s)
         assert board.targets[ADDRESS].running == 4
         assert not board.targets[ADDRESS].usable
         await watch.poll_once()
@@ -289,20 +291,20 @@
 
 def test_of_two_readings_of_the_host_list_the_later_counts() -> None:
     """One node reads the list, another tells of an earlier reading of its own."""
-    here, there = ListedNews(), ListedNews()
+    here, there = HostListTable(), HostListTable()
     row = ListedHost(ADDRESS, "asesor", "z", leaving=False)
-    there.read([row], 100.0)
-    here.read([row._replace(leaving=True)], 105.0)
-    for change in there.tell(106.0):
-        here.hear(change, 106.0)
-    assert [r.leaving for r in here.present()] == [True]
-    for change in here.tell(106.0):
-        there.hear(change, 106.0)
-    assert [r.leaving for r in there.present()] == [True]
-    here.read([], 107.0)
-    for change in here.tell(108.0):
-        there.hear(change, 108.0)
-    assert list(there.present()) == []
+    there.update([row], 100.0)
+    here.update([row._replace(leaving=True)], 105.0)
+    for change in there.take_changes(106.0):
+        here.apply_change(change, 106.0)
+    assert [r.leaving for r in here.present_rows()] == [True]
+    for change in here.take_changes(106.0):
+        there.apply_change(change, 106.0)
+    assert [r.leaving for r in there.present_rows()] == [True]
+    here.update([], 107.0)
+    for change in here.take_changes(108.0):
+        there.apply_change(change, 108.0)
+    assert list(there.present_rows()) == []
 
 
 def test_many_nodes_together_read_the_list_no_more_often_than_a_few() -> None:
--- a/tests/crashes/test_guard.py
+++ b/tests/crashes/test_guard.py
@@ -182,12 +182,12 @@
         assert (
             world.ledger.standing(CALL, asyncio.get_running_loop().time() + 1.1).value == "refused"
         )
-        while world.news.load(EMPTY, 0.0).crashes:
+        while world.news.add_updates(EMPTY, 0.0).crashes:
             pass
         world.guard.review(["a", "b"])
-        assert world.news.load(EMPTY, 0.0) is EMPTY
+        assert world.news.add_updates(EMPTY, 0.0) is EMPTY
         world.guard.review(["b", "newcomer"])
-        told = world.news.load(EMPTY, 0.0).crashes
+        told = world.news.add_updates(EMPTY, 0.0).crashes
         assert {row.target for row in told} == {"a@5", "b@5", "c@5"}
 
     play(body)
--- a/tests/crashes/test_news.py
+++ b/tests/crashes/test_news.py
@@ -31,7 +31,7 @@
     seers, fourth = [Node(), Node(), Node()], Node()
     for number, node in enumerate(seers):
         node.see(CALL, f"t{number}", number * 1.0, number + 0.1)
-        fourth.news.unload(passed_on(node.news.load(EMPTY, 3.0)), 3.0)
+        fourth.news.apply_updates(passed_on(node.news.add_updates(EMPTY, 3.0)), 3.0)
     assert fourth.ledger.standing(CALL, 9.0) is Standing.REFUSED
     evidence = fourth.ledger.suspects[CALL].ends["t0"]
     assert (evidence.node, round(evidence.ended_s, 2)) == ("n", 0.1)
@@ -44,16 +44,16 @@
     assert one.ledger.note_answer(CALL, 1.0)
     one.news.tell(CALL)
     for _ in range(2):
-        other.news.unload(passed_on(one.news.load(EMPTY, 2.0)), 2.0)
+        other.news.apply_updates(passed_on(one.news.add_updates(EMPTY, 2.0)), 2.0)
     assert other.ledger.standing(CALL, 2.0) is Standing.CLEAR
 
 
 def test_news_is_passed_on_a_bounded_number_of_times() -> None:
     node = Node()
     node.see(CALL, "t", 0.0, 0.1)
-    told = sum(len(node.news.load(EMPTY, 1.0).crashes) for _ in range(100))
+    told = sum(len(node.news.add_updates(EMPTY, 1.0).crashes) for _ in range(100))
     assert 4 <= told <= 8
-    assert node.news.load(EMPTY, 1.0) is EMPTY
+    assert node.news.add_updates(EMPTY, 1.0) is EMPTY
 
 
 def test_a_flood_of_suspects_makes_no_datagram_large_and_does_not_hide_the_worst() -> None:
@@ -63,7 +63,7 @@
         node.see(b"%12d" % number, f"t{number % 8}", 0.0, 0.1)
     for target in ("a", "b"):
         node.see(CALL, target, 0.2, 0.3)
-    message = node.news.load(EMPTY, 1.0)
+    message = node.news.add_updates(EMPTY, 1.0)
     assert len(message.crashes) == ROWS_PER_MESSAGE
     assert [row.mark for row in message.crashes[:2]] == [CALL, CALL]
     assert len(HeartbeatCodec("key").pack(message)) < 600
--- a/tests/observe/test_fleet_view.py
+++ b/tests/observe/test_fleet_view.py
@@ -98,7 +98,7 @@
         assert (metrics["merged_from"], metrics["missing"]) == (3, [])
         assert metrics["counters"]["member_datagrams_sent"] > 0
         lost = fleet.nodes.pop()
-        lost.membership.say_gone = lambda: None
+        lost.membership.announce_exit = lambda: None
         await lost.stop()
         async with session.get(f"{base}/v1/report") as response:
             report = await response.json()
