--- a/samphirecleat/controllers/membership/__init__.py
+++ b/samphirecleat/controllers/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which nodes live, which hosts are listed, and how this node leaves."""
+"""Cluster membership, the host list, and draining of this node."""
 
 from typing import TYPE_CHECKING
 
@@ -18,7 +18,8 @@
     "max_drain_s",
 ]
 
-# Heartbeats work without these, which need the settings and the host list.
+# Imported lazily: a process that only exchanges heartbeats needs neither the settings
+# nor the host list.
 __getattr__ = lazy_exports(
     __name__, {"Discovery": "_discovery", "Drain": "_drain", "max_drain_s": "_drain"}
 )
--- a/samphirecleat/controllers/membership/_discovery.py
+++ b/samphirecleat/controllers/membership/_discovery.py
@@ -1,4 +1,4 @@
-"""Reads the host list, a late hint of which nodes and targets there are."""
+"""Reads the host list, a delayed and fallible source of node and target addresses."""
 
 import asyncio
 import random
@@ -11,69 +11,69 @@
 from ...observe import Observer
 from ...peers import ListedChange, Message, PeerClient, PeerUnavailableError
 from ...platform import HostListUnavailableError, HttpHostList, ListedHost
-from ._list_doubt import believe_rows
+from ._list_doubt import accept_rows
 
 ENTRY_SERVICE: Final = "entry"
-READERS_AT_ONCE: Final = 16
-TELL_TIMES: Final = 10
-REMEMBER_GONE_S: Final = 600.0
+READERS_PER_PERIOD: Final = 16
+TRANSMISSIONS_PER_CHANGE: Final = 10
+REMOVED_ROW_TTL_S: Final = 600.0
 CHANGES_PER_MESSAGE: Final = 4
-PEERS_ASKED: Final = 3
+PEERS_QUERIED: Final = 3
 PEER_TIMEOUT_S: Final = 0.5
 
 
 class ListedRow(NamedTuple):
-    """A row as last read by some node, None once it was gone from the list."""
+    """A row as last read by this or another node; ``row`` is None once it was removed from the list."""
 
     row: ListedHost | None
     read_at_s: float
 
 
 def reading_period_s(period_s: float, node_count: int) -> float:
-    """Return how often one node reads the list, so that all together read it evenly.
+    """Return the read period of one node, so that the fleet's total read rate is bounded.
 
-    The whole list is sent at each read. Up to 16 nodes read it every ``period_s``;
-    of more, each reads it less often, and what one finds changed it tells the others.
+    Every read returns the whole list. Up to 16 nodes read it every ``period_s``; in a
+    larger fleet each node reads less often, and nodes tell each other about changes.
     """
-    return period_s * max(1.0, node_count / READERS_AT_ONCE)
+    return period_s * max(1.0, node_count / READERS_PER_PERIOD)
 
 
 class HostListTable:
-    """The list as this node knows it, and the changes that it passes on. Pure."""
+    """This node's copy of the host list, and the changes to pass on. Performs no I/O."""
 
     def __init__(self) -> None:
         """Start with an empty list."""
         self.rows: dict[str, ListedRow] = {}
-        self._untold: OrderedDict[str, int] = OrderedDict()
+        self._pending: OrderedDict[str, int] = OrderedDict()
 
     def update(self, rows: Sequence[ListedHost], now_s: float) -> None:
-        """Take in a list that this node read itself."""
+        """Apply a list that this node read itself."""
         fresh = {row.address: row for row in rows}
         for address in set(fresh) | set(self.rows):
             self._note(address, fresh.get(address), now_s)
         self.rows = {
             address: listed
             for address, listed in self.rows.items()
-            if listed.row is not None or listed.read_at_s > now_s - REMEMBER_GONE_S
+            if listed.row is not None or listed.read_at_s > now_s - REMOVED_ROW_TTL_S
         }
 
     def apply_change(self, change: ListedChange, now_s: float) -> None:
-        """Take in what another node read, unless this node has a later reading."""
+        """Apply a change read by another node, unless this node has a later reading."""
         row = ListedHost(change.address, change.service, change.zone, change.leaving)
         read_at_s = now_s - change.age_ms / 1000.0
         self._note(change.address, row if change.present else None, read_at_s)
 
     def take_changes(self, now_s: float) -> Sequence[ListedChange]:
-        """Return changes for one datagram."""
-        told = list(self._untold)[:CHANGES_PER_MESSAGE]
-        for address in told:
-            self._untold[address] -= 1
-            if not self._untold[address]:
-                del self._untold[address]
-        return [self._change(address, now_s) for address in told]
+        """Return pending changes for one datagram, counting one transmission of each."""
+        addresses = list(self._pending)[:CHANGES_PER_MESSAGE]
+        for address in addresses:
+            self._pending[address] -= 1
+            if not self._pending[address]:
+                del self._pending[address]
+        return [self._change(address, now_s) for address in addresses]
 
     def present_rows(self) -> Sequence[ListedHost]:
-        """Return the rows that are on the list."""
+        """Return the rows that are currently on the list."""
         return [listed.row for listed in self.rows.values() if listed.row is not None]
 
     def _note(self, address: str, row: ListedHost | None, read_at_s: float) -> None:
@@ -82,10 +82,10 @@
             return
         self.rows[address] = ListedRow(row, read_at_s)
         if known is None or known.row != row:
-            self._untold[address] = TELL_TIMES
+            self._pending[address] = TRANSMISSIONS_PER_CHANGE
 
     def _change(self, address: str, now_s: float) -> ListedChange:
-        listed = self.rows.get(address, ListedRow(None, now_s - REMEMBER_GONE_S))
+        listed = self.rows.get(address, ListedRow(None, now_s - REMOVED_ROW_TTL_S))
         row = listed.row or ListedHost(address, "", "", False)
         age_ms = max(0, int((now_s - listed.read_at_s) * 1000.0))
         present = listed.row is not None
@@ -93,7 +93,7 @@
 
 
 class Discovery:
-    """Writes what the host list shows to the blackboard."""
+    """Writes the nodes and targets of the host list to the blackboard."""
 
     def __init__(
         self,
@@ -111,52 +111,53 @@
         self._period_s = period_s
         self._rng = rng or random.Random()
         self._peers = peers
-        self._doubted_since_s: float | None = None
-        self._asked_anew = asyncio.Event()
+        self._loss_since_s: float | None = None
+        self._refresh_requested = asyncio.Event()
         self.table = HostListTable()
 
     async def drive(self) -> None:
-        """Read the list for as long as the node lives."""
+        """Read the list periodically until cancelled."""
         while True:
-            anew = self._asked_anew.is_set()
-            self._asked_anew.clear()
+            requested = self._refresh_requested.is_set()
+            self._refresh_requested.clear()
             try:
                 rows = await self._host_list.read()
             except HostListUnavailableError as error:
-                self._observer.log("hosts").warning("Host list not readable: %s.", error)
-                if anew and self._peers is not None:
-                    await self._ask_peers()
+                self._observer.log("hosts").warning("Failed to read the host list: %s.", error)
+                if requested and self._peers is not None:
+                    await self._fetch_from_peers()
             else:
-                self._take(rows, asyncio.get_running_loop().time())
+                self._apply_read(rows, asyncio.get_running_loop().time())
             period_s = reading_period_s(self._period_s, len(self._board.live_members()))
-            # Jitter: nodes that read together would find the same change together.
-            await wait_for_event(self._asked_anew, period_s * (0.75 + 0.5 * self._rng.random()))
+            # Jitter, so that different nodes find a change at different times.
+            await wait_for_event(
+                self._refresh_requested, period_s * (0.75 + 0.5 * self._rng.random())
+            )
 
     def request_refresh(self) -> None:
-        """Read the list at once, or ask other nodes for it, after a pause of this process."""
-        self._asked_anew.set()
+        """Read the list now, or fetch it from other nodes, after this process was paused."""
+        self._refresh_requested.set()
 
-    async def _ask_peers(self) -> None:
-        """Take over what other nodes know of the list while it can not be read.
+    async def _fetch_from_peers(self) -> None:
+        """Fetch the list from other nodes while it can't be read.
 
-        A process that stood still missed the changes that others passed on. Of a
-        target about which they disagree, the word that it leaves counts: the one
-        asked may have stood still as well.
+        A process that was paused missed the changes passed on meanwhile. If the peers
+        disagree about a target, ``leaving`` wins, since a peer may have been paused as well.
         """
         own_id = self._board.identity.node_id
         others = [m for m in self._board.live_members() if m.node_id != own_id]
-        asked = self._rng.sample(others, min(PEERS_ASKED, len(others)))
-        told: dict[str, ListedHost] = {}
+        asked = self._rng.sample(others, min(PEERS_QUERIED, len(others)))
+        fetched: dict[str, ListedHost] = {}
         for member in asked:
             for row in await self._fetch(member):
-                known = told.get(row.address)
+                known = fetched.get(row.address)
                 if known is None or row.leaving:
-                    told[row.address] = row
+                    fetched[row.address] = row
         now_s = asyncio.get_running_loop().time()
-        for row in told.values():
+        for row in fetched.values():
             change = ListedChange(row.address, row.service, row.zone, row.leaving, True, 0)
             self.table.apply_change(change, now_s)
-        if told:
+        if fetched:
             self._write()
             self._board.listed_at_s = now_s
 
@@ -168,25 +169,25 @@
             return ()
 
     def add_updates(self, message: Message, now_s: float) -> Message:
-        """Put changes of the list into a datagram to other nodes."""
+        """Return the message with pending host list changes added."""
         return message._replace(listed=self.table.take_changes(now_s))
 
     def apply_updates(self, message: Message, now_s: float) -> None:
-        """Take in changes that another node read."""
+        """Apply the host list changes of a message from another node."""
         if not message.listed:
             return
         for change in message.listed:
             self.table.apply_change(change, now_s)
         self._write()
 
-    def _take(self, told: Sequence[ListedHost], now_s: float) -> None:
-        believed = believe_rows(self.table.present_rows(), told, self._doubted_since_s, now_s)
-        if believed.doubted_since_s is not None and self._doubted_since_s is None:
+    def _apply_read(self, fetched: Sequence[ListedHost], now_s: float) -> None:
+        accepted = accept_rows(self.table.present_rows(), fetched, self._loss_since_s, now_s)
+        if accepted.loss_since_s is not None and self._loss_since_s is None:
             self._observer.log("hosts").warning(
-                "The list fell to %d rows; the old ones are kept for now.", len(told)
+                "Host list shrank to %d rows; keeping the missing rows for now.", len(fetched)
             )
-        self._doubted_since_s = believed.doubted_since_s
-        self.table.update(believed.rows, now_s)
+        self._loss_since_s = accepted.loss_since_s
+        self.table.update(accepted.rows, now_s)
         self._write()
         self._board.listed_at_s = now_s
 
--- a/samphirecleat/controllers/membership/_list_doubt.py
+++ b/samphirecleat/controllers/membership/_list_doubt.py
@@ -1,4 +1,4 @@
-"""Decides what to believe of a host list that was just read."""
+"""Decides which rows of a newly read host list to accept."""
 
 from collections.abc import Sequence
 from typing import Final, NamedTuple
@@ -6,38 +6,39 @@
 from ...platform import ListedHost
 from ...settings import ADDRESS_PATTERN
 
-SUDDEN_LOSS_SHARE: Final = 0.5
-FEWEST_FOR_SUDDEN_LOSS: Final = 4
-BELIEVED_AFTER_S: Final = 30.0
+MASS_LOSS_FRACTION: Final = 0.5
+MIN_ROWS_FOR_MASS_LOSS: Final = 4
+MASS_LOSS_CONFIRMED_AFTER_S: Final = 30.0
 
 
-class BelievedList(NamedTuple):
-    """The rows to go by, and since when the list has shown far fewer."""
+class AcceptedRows(NamedTuple):
+    """The rows to use, and since when most rows have been missing from the list."""
 
     rows: Sequence[ListedHost] = ()
-    doubted_since_s: float | None = None
+    loss_since_s: float | None = None
 
 
-def believe_rows(
-    known: Sequence[ListedHost],
-    told: Sequence[ListedHost],
-    doubted_since_s: float | None,
+def accept_rows(
+    current: Sequence[ListedHost],
+    fetched: Sequence[ListedHost],
+    loss_since_s: float | None,
     now_s: float,
-) -> BelievedList:
-    """Return the rows to believe, from those ``known`` and those just ``told``.
-
-    A list that lost most of its rows at once has more likely been restarted than
-    told the truth; believed at once, it would take every target out of routing.
-    The rows that it does show are believed, leaving ones above all, and the loss
-    is believed once it has lasted.
+) -> AcceptedRows:
+    """Return the rows to use, from the ``current`` ones and those just ``fetched``.
+
+    A list that lost most of its rows at once was probably restarted; if the loss were
+    accepted at once, every target would be taken out of routing. The rows that the
+    list does show are accepted, including their ``leaving`` flag, and the loss is
+    accepted once it has lasted ``MASS_LOSS_CONFIRMED_AFTER_S``. Rows with a malformed
+    address are dropped.
     """
-    told = [row for row in told if ADDRESS_PATTERN.match(row.address)]
-    told_addresses = {row.address for row in told}
-    missing = [row for row in known if row.address not in told_addresses]
-    is_large = len(known) >= FEWEST_FOR_SUDDEN_LOSS
-    if not is_large or len(missing) <= SUDDEN_LOSS_SHARE * len(known):
-        return BelievedList(told)
-    since_s = now_s if doubted_since_s is None else doubted_since_s
-    if now_s - since_s >= BELIEVED_AFTER_S:
-        return BelievedList(told)
-    return BelievedList([*told, *missing], since_s)
+    fetched = [row for row in fetched if ADDRESS_PATTERN.match(row.address)]
+    fetched_addresses = {row.address for row in fetched}
+    missing = [row for row in current if row.address not in fetched_addresses]
+    is_large = len(current) >= MIN_ROWS_FOR_MASS_LOSS
+    if not is_large or len(missing) <= MASS_LOSS_FRACTION * len(current):
+        return AcceptedRows(fetched)
+    since_s = now_s if loss_since_s is None else loss_since_s
+    if now_s - since_s >= MASS_LOSS_CONFIRMED_AFTER_S:
+        return AcceptedRows(fetched)
+    return AcceptedRows([*fetched, *missing], since_s)
--- a/samphirecleat/controllers/membership/_membership.py
+++ b/samphirecleat/controllers/membership/_membership.py
@@ -1,4 +1,4 @@
-"""Who the members are: the thin UDP driver around the pure gossip decisions."""
+"""Cluster membership over UDP: a thin driver around :class:`._gossip.Gossip`."""
 
 import asyncio
 import random
@@ -14,22 +14,22 @@
 
 
 class PiggybackSource(Protocol):
-    """Another part whose news rides on the datagrams."""
+    """A component whose updates are sent along with membership datagrams."""
 
     def add_updates(self, message: Message, now_s: float) -> Message:
-        """Return the message with this part's news put in."""
+        """Return the message with this component's updates added."""
         ...
 
     def apply_updates(self, message: Message, now_s: float) -> None:
-        """Take this part's news out of a message that arrived."""
+        """Apply this component's updates from a received message."""
         ...
 
 
 class Membership(asyncio.DatagramProtocol):
-    """Sends and takes datagrams, and keeps the member section.
+    """Sends and receives datagrams, and writes the members to the blackboard.
 
-    ``contacts`` of a node are its seeds and what the host list shows. The list is
-    only a hint of where to knock: it neither makes a member nor ends one.
+    The contacts of a node are its seeds and the addresses on the host list. The host
+    list is only a hint of whom to contact: it neither adds nor removes members.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         rng: random.Random | None = None,
         piggyback_sources: Sequence[PiggybackSource] = (),
     ) -> None:
-        """Ask ``own_row`` for this node's row at each heartbeat."""
+        """Create the endpoint; ``own_row`` returns this node's row for each heartbeat."""
         self._board = board
         self._codec = codec
         self._observer = observer
@@ -64,12 +64,12 @@
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        # uvloop's transport is none of asyncio's classes, so no isinstance here.
+        """Store the transport."""
+        # No isinstance check: uvloop's transport is not derived from asyncio's classes.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:  # noqa: ARG002
-        """Take in a datagram; one without the key is counted and changes nothing."""
+        """Process a datagram; one that fails authentication is counted and ignored."""
         counters = self._observer.counters
         counters["member_bytes_received"] += len(data)
         try:
@@ -79,21 +79,21 @@
             return
         now_s = asyncio.get_running_loop().time()
         outgoing = self.gossip.receive(message, now_s)
-        if not self.gossip.is_deaf(now_s):
+        if not self.gossip.discards_messages(now_s):
             for source in self._piggyback_sources:
                 source.apply_updates(message, now_s)
         self._write_members()
         self._send(outgoing, now_s)
 
     async def drive(self) -> None:
-        """Send heartbeats for as long as the node lives."""
+        """Send heartbeats periodically until cancelled."""
         while True:
-            self.beat()
-            # Jitter: nodes that started together would else send together for good.
+            self.send_heartbeats()
+            # Jitter, so that nodes started together do not keep sending at the same time.
             jitter = 1.0 + START_JITTER * (self._rng.random() - 0.5)
             await asyncio.sleep(self._heartbeat_s * jitter)
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Probe the next members."""
         now_s = asyncio.get_running_loop().time()
         contacts = [*self._seeds, *self._board.listed_nodes]
@@ -102,36 +102,36 @@
         self._send(outgoing, now_s)
 
     def announce(self) -> None:
-        """Tell several members at once that this node changed, as when it leaves."""
+        """Tell several members at once that this node's row changed, for example its leaving."""
         now_s = asyncio.get_running_loop().time()
         outgoing = self.gossip.announce(self._own_row(), now_s)
         self._write_members()
         self._send(outgoing, now_s)
 
     def announce_exit(self) -> None:
-        """Tell several members that this process ends now."""
+        """Tell several members that this process is about to end."""
         now_s = asyncio.get_running_loop().time()
         self._send(self.gossip.announce_exit(now_s), now_s)
 
     def _write_members(self) -> None:
         table = self.gossip.table
-        came: list[str] = []
-        went: list[str] = []
+        joined: list[str] = []
+        left: list[str] = []
         for node_id in table.changed_node_ids:
             own = node_id == self._board.identity.node_id
-            view = table.shown_own(self.gossip.own) if own else table.shown(node_id)
+            view = table.own_view(self.gossip.own) if own else table.current_view(node_id)
             before = self._board.members.get(node_id)
             if view is None:
                 self._board.members.pop(node_id, None)
                 continue
             self._board.members[node_id] = view
             if before is None or before.alive != view.alive:
-                (came if view.alive else went).append(node_id)
+                (joined if view.alive else left).append(node_id)
         table.changed_node_ids.clear()
-        if came or went:
-            # One line for all: after a loss of all power every node hears of every other.
+        if joined or left:
+            # One line for all members: after a full outage all nodes rejoin at once.
             self._observer.log("members").info(
-                "alive=%s gone=%s known=%d", ",".join(came), ",".join(went), len(table.known)
+                "alive=%s gone=%s known=%d", ",".join(joined), ",".join(left), len(table.records)
             )
 
     def _send(self, outgoing: Sequence[Outgoing], now_s: float) -> None:
--- a/tests/controllers/membership/gossip_network.py
+++ b/tests/controllers/membership/gossip_network.py
@@ -8,7 +8,7 @@
 
 from samphirecleat.blackboard import Member
 from samphirecleat.controllers.membership._gossip import Gossip
-from samphirecleat.controllers.membership._member_table import Life
+from samphirecleat.controllers.membership._member_table import Liveness
 from samphirecleat.peers import Outgoing
 
 HEARTBEAT_S = 0.5
@@ -37,7 +37,7 @@
 
     rng: random.Random
     loss: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
     max_delay_s: float = 0.01
     now_s: float = 100.0
     cut: Callable[[str, str], bool] = lambda _a, _b: False
@@ -83,15 +83,15 @@
 
     def alive_at(self, address: str) -> set[str]:
         """Return the incarnations that a node takes for alive."""
-        known = self.nodes[address].gossip.table.known.values()
-        return {k.member.incarnation for k in known if k.life is Life.ALIVE}
+        known = self.nodes[address].gossip.table.records.values()
+        return {k.member.incarnation for k in known if k.liveness is Liveness.ALIVE}
 
     def send(self, sender: str, outgoing: Sequence[Outgoing]) -> None:
         """Put messages on the wire."""
         for address, message in outgoing:
             kind = message.kind.name
             self.sent_by_kind[kind] = self.sent_by_kind.get(kind, 0) + 1
-            copies = 2 if self.rng.random() < self.doubled else 1
+            copies = 2 if self.rng.random() < self.duplicated else 1
             for _copy in range(copies):
                 if self.rng.random() < self.loss or self.cut(sender, address):
                     continue
--- a/tests/controllers/membership/test_drain.py
+++ b/tests/controllers/membership/test_drain.py
@@ -16,9 +16,9 @@
 from samphirecleat.observe import Observer
 
 VIEW = DrainView(
-    began_at_s=100.0,
+    started_at_s=100.0,
     entry_ttl_s=5.0,
-    spread_s=4.0,
+    propagation_s=4.0,
     max_deadline_s=60.0,
     in_flight=0,
     undelivered=False,
--- a/tests/controllers/membership/test_list_doubt.py
+++ b/tests/controllers/membership/test_list_doubt.py
@@ -1,8 +1,8 @@
-"""What is believed of the host list, which is late and at times wrong."""
+"""What is accepted of the host list, which is late and at times wrong."""
 
 import pytest
 
-from samphirecleat.controllers.membership._list_doubt import believe_rows
+from samphirecleat.controllers.membership._list_doubt import accept_rows
 from samphirecleat.platform import ListedHost
 
 
@@ -29,14 +29,14 @@
 
     Believed at once, it would leave callers without any target.
     """
-    known, told, expected = CASES[name]
-    assert list(believe_rows(known, told, None, 100.0).rows) == expected
+    current, fetched, expected = CASES[name]
+    assert list(accept_rows(current, fetched, None, 100.0).rows) == expected
 
 
 def test_a_loss_that_lasts_is_believed() -> None:
     """Most of the hosts are really gone."""
-    first = believe_rows(FIVE, FIVE[:1], None, 100.0)
-    later = believe_rows(first.rows, FIVE[:1], first.doubted_since_s, 129.0)
+    first = accept_rows(FIVE, FIVE[:1], None, 100.0)
+    later = accept_rows(first.rows, FIVE[:1], first.loss_since_s, 129.0)
     assert list(later.rows) == FIVE
-    last = believe_rows(later.rows, FIVE[:1], later.doubted_since_s, 130.0)
+    last = accept_rows(later.rows, FIVE[:1], later.loss_since_s, 130.0)
     assert list(last.rows) == FIVE[:1]
--- a/tests/controllers/membership/test_membership.py
+++ b/tests/controllers/membership/test_membership.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from samphirecleat.controllers.membership._gossip import DEAF_S
-from samphirecleat.controllers.membership._member_table import Change, Life, MemberTable
+from samphirecleat.controllers.membership._gossip import DISCARD_AFTER_PAUSE_S
+from samphirecleat.controllers.membership._member_table import Liveness, MemberTable, RowChange
 from samphirecleat.peers import (
     Death,
     HeartbeatCodec,
@@ -45,7 +45,7 @@
     seed=st.integers(0, 2**32),
     count=st.integers(2, 9),
     loss=st.floats(0.0, 0.5),
-    doubled=st.floats(0.0, 0.5),
+    duplicated=st.floats(0.0, 0.5),
     max_delay_s=st.floats(0.001, 1.5),
     faults=st.lists(
         st.tuples(
@@ -56,16 +56,16 @@
         max_size=8,
     ),
 )
-def explore_faults(seed, count, loss, doubled, max_delay_s, faults) -> None:
-    network = Network(random.Random(seed), loss, doubled, max_delay_s)
+def run_random_faults(seed, count, loss, duplicated, max_delay_s, faults) -> None:
+    network = Network(random.Random(seed), loss, duplicated, max_delay_s)
     for index in range(count):
         network.start(f"n{index}", f"n{index}-a", 1000 + index)
     for number, (fault, index, pause_s) in enumerate(faults):
         address = f"n{index % count}"
-        bring_about(network, fault, address, number, pause_s)
+        inject_fault(network, fault, address, number, pause_s)
         network.run(pause_s)
     network.cut = lambda _a, _b: False
-    network.loss = network.doubled = 0.0
+    network.loss = network.duplicated = 0.0
     network.max_delay_s = 0.01
     network.run(SETTLE_S)
     INTERLEAVINGS["runs"] += 1
@@ -77,7 +77,7 @@
             assert known.member.leaving == leaving
 
 
-def bring_about(network: Network, fault: str, address: str, number: int, pause_s: float) -> None:
+def inject_fault(network: Network, fault: str, address: str, number: int, pause_s: float) -> None:
     match fault:
         case "kill" if address in network.nodes and len(network.nodes) > 1:
             network.stop(address)
@@ -100,12 +100,12 @@
 
 
 def test_all_live_processes_agree_after_any_faults(capsys) -> None:
-    """Datagrams are lost, doubled and late while processes die, freeze and are replaced.
+    """Datagrams are lost, duplicated and late while processes die, freeze and are replaced.
 
     Once the network is whole again, a node that kept a wrong view would send callers
     to hosts that are gone, or leave a live one without work.
     """
-    explore_faults()
+    run_random_faults()
     with capsys.disabled():
         print(f"\nmembership: {INTERLEAVINGS['runs']} interleavings, ", end="")
         print(f"{INTERLEAVINGS['datagrams']} datagrams delivered")
@@ -124,11 +124,11 @@
 def test_leaving_is_known_everywhere_in_a_few_periods(count: int) -> None:
     """A node begins to drain; callers must not be handed its address any more."""
     network = build_network(count)
-    bring_about(network, "leave", "n1", 0, 0.0)
+    inject_fault(network, "leave", "n1", 0, 0.0)
 
     def known_everywhere() -> bool:
         tables = [node.gossip.table for node in network.nodes.values()]
-        return all(table.known["n1-a"].member.leaving for table in tables)
+        return all(table.records["n1-a"].member.leaving for table in tables)
 
     seconds_until(network, known_everywhere, 8 * HEARTBEAT_S)
 
@@ -144,7 +144,7 @@
 
     def heard_everywhere() -> bool:
         tables = [node.gossip.table for node in network.nodes.values()]
-        return all(table.known["n7-a"].member.config_revision == 2 for table in tables)
+        return all(table.records["n7-a"].member.config_revision == 2 for table in tables)
 
     seconds_until(network, heard_everywhere, 2.5)
 
@@ -181,9 +181,9 @@
     network.stop("n3")
     network.start("n3", "n3-b", started_at_ms=-10_000_000)
     seconds_until(network, network.views_agree, SUSPECT_AFTER_S)
-    shown = network.nodes["n0"].gossip.table.shown("n3")
-    assert shown is not None
-    assert shown.member.incarnation == "n3-b"
+    view = network.nodes["n0"].gossip.table.current_view("n3")
+    assert view is not None
+    assert view.member.incarnation == "n3-b"
 
 
 def test_a_process_that_froze_and_woke_offers_itself_only_after_an_answer() -> None:
@@ -198,11 +198,11 @@
     network.run(59.0)
     assert "n4-a" not in network.alive_at("n0")
     network.stop("n3")
-    before = dict(node.gossip.table.known)
+    before = dict(node.gossip.table.records)
     network.cut = lambda a, b: "n4" in (a, b)
-    network.run(1.0 + DEAF_S / 2)
+    network.run(1.0 + DISCARD_AFTER_PAUSE_S / 2)
     assert node.gossip.own.ready is False
-    assert {k: v.made_at_s for k, v in node.gossip.table.known.items() if k != "n4-a"} == {
+    assert {k: v.made_at_s for k, v in node.gossip.table.records.items() if k != "n4-a"} == {
         k: v.made_at_s for k, v in before.items() if k != "n4-a"
     }
     network.cut = lambda _a, _b: False
@@ -220,28 +220,30 @@
 
 
 @pytest.mark.parametrize(
-    ("life", "sequence", "age_s", "change"),
+    ("liveness", "sequence", "age_s", "change"),
     [
-        pytest.param(Life.ALIVE, 4, 0.0, Change.NONE, id="an old row"),
-        pytest.param(Life.ALIVE, 5, 0.0, Change.NONE, id="the same row again"),
-        pytest.param(Life.ALIVE, 6, 0.0, Change.FRESHER, id="a fresher row"),
-        pytest.param(Life.DEAD, 6, 9.0, Change.FRESHER, id="made before it fell silent"),
-        pytest.param(Life.DEAD, 6, 0.0, Change.NEWS, id="made after it fell silent"),
-        pytest.param(Life.GONE, 6, 0.0, Change.NONE, id="after its own last word"),
+        pytest.param(Liveness.ALIVE, 4, 0.0, RowChange.NONE, id="an old row"),
+        pytest.param(Liveness.ALIVE, 5, 0.0, RowChange.NONE, id="the same row again"),
+        pytest.param(Liveness.ALIVE, 6, 0.0, RowChange.REFRESHED, id="a fresher row"),
+        pytest.param(Liveness.DEAD, 6, 9.0, RowChange.REFRESHED, id="made before it fell silent"),
+        pytest.param(Liveness.DEAD, 6, 0.0, RowChange.UPDATED, id="made after it fell silent"),
+        pytest.param(Liveness.GONE, 6, 0.0, RowChange.NONE, id="after its own last word"),
     ],
 )
-def test_which_rows_change_what_is_known(life, sequence, age_s, change) -> None:
+def test_which_rows_change_what_is_known(liveness, sequence, age_s, change) -> None:
     """Rows arrive late, twice, or are replayed, also of processes that are gone.
 
     If one of them counted, callers would be sent to a process that is not there.
     """
     table = MemberTable()
     table.merge(make_member("n1", "a")._replace(sequence=5), 0.0, 10.0)
-    if life is not Life.ALIVE:
-        table.bury("a", life, 15.0)
+    if liveness is not Liveness.ALIVE:
+        table.mark_ended("a", liveness, 15.0)
     row = make_member("n1", "a")._replace(sequence=sequence)
     assert table.merge(row, age_s, 20.0) is change
-    assert (table.known["a"].life is Life.ALIVE) == (life is Life.ALIVE or change is Change.NEWS)
+    assert (table.records["a"].liveness is Liveness.ALIVE) == (
+        liveness is Liveness.ALIVE or change is RowChange.UPDATED
+    )
 
 
 def test_a_replayed_row_of_a_forgotten_process_changes_nothing() -> None:
@@ -249,11 +251,11 @@
     table = MemberTable()
     row = make_member("n1", "a")._replace(sequence=5)
     table.merge(row, 0.0, 0.0)
-    table.bury("a", Life.DEAD, 1.0)
-    table.forget_old(1e6)
-    assert "a" not in table.known
-    assert table.merge(row, 0.0, 1e6) is Change.NONE
-    assert table.known == {}
+    table.mark_ended("a", Liveness.DEAD, 1.0)
+    table.remove_expired(1e6)
+    assert "a" not in table.records
+    assert table.merge(row, 0.0, 1e6) is RowChange.NONE
+    assert table.records == {}
 
 
 def test_the_number_of_datagrams_per_node_does_not_grow_with_the_fleet() -> None:
