--- a/samphirecleat/controllers/membership/_discovery.py
+++ b/samphirecleat/controllers/membership/_discovery.py
@@ -23,7 +23,7 @@
 
 
 class ListedRow(NamedTuple):
-    """A row as last read by this or another node; ``row`` is None once it was removed from the list."""
+    """A row as last read by any node; ``row`` is None once it left the list."""
 
     row: ListedHost | None
     read_at_s: float
--- a/tests/controllers/membership/gossip_network.py
+++ b/tests/controllers/membership/gossip_network.py
@@ -1,4 +1,4 @@
-"""A network of gossip decisions in simulated time, with faults; no sockets, no loop."""
+"""A simulated network of gossip nodes with faults; simulated time, no sockets, no loop."""
 
 import heapq
 import itertools
@@ -23,7 +23,7 @@
 
 @dataclass
 class SimulatedNode:
-    """One process; ``paused_until_s`` holds back all that it does and gets."""
+    """One process; until ``paused_until_s`` it neither sends nor receives."""
 
     gossip: Gossip
     own: Member
@@ -33,14 +33,14 @@
 
 @dataclass
 class Network:
-    """Delivers datagrams with loss, delay and duplication while ``faulty``."""
+    """Delivers datagrams with configurable loss, delay, duplication and partitions."""
 
     rng: random.Random
     loss: float = 0.0
     duplicated: float = 0.0
     max_delay_s: float = 0.01
     now_s: float = 100.0
-    cut: Callable[[str, str], bool] = lambda _a, _b: False
+    is_cut: Callable[[str, str], bool] = lambda _a, _b: False
     nodes: dict[str, SimulatedNode] = field(default_factory=dict)
     delivered: int = 0
     listed_from_s: dict[str, float] = field(default_factory=dict)
@@ -49,7 +49,7 @@
     _numbers: itertools.count = field(default_factory=itertools.count)
 
     def start(self, address: str, incarnation: str, started_at_ms: int = 1000) -> SimulatedNode:
-        """Start a process at an address, in place of whatever ran there."""
+        """Start a process at an address, replacing any process that ran there."""
         own = make_member(address, incarnation, started_at_ms)
         gossip = Gossip(
             own,
@@ -59,17 +59,17 @@
         )
         node = SimulatedNode(gossip, own)
         self.nodes[address] = node
-        # The host list shows a host late and never takes one off again.
+        # The simulated host list shows a host late and never removes one.
         self.listed_from_s.setdefault(address, self.now_s + LIST_LAG_S)
         self._at(self.now_s + self.rng.random() * HEARTBEAT_S, lambda: self._tick(node))
         return node
 
     def stop(self, address: str) -> None:
-        """Kill a process without a word."""
+        """Kill a process without notice to the others."""
         self.nodes.pop(address).running = False
 
     def run(self, seconds: float) -> None:
-        """Let simulated time pass."""
+        """Advance the simulated time."""
         until_s = self.now_s + seconds
         while self._events and self._events[0][0] <= until_s:
             self.now_s, _number, event = heapq.heappop(self._events)
@@ -77,23 +77,23 @@
         self.now_s = until_s
 
     def views_agree(self) -> bool:
-        """Whether every live process takes exactly the live processes for alive."""
+        """Whether every live process considers exactly the live processes alive."""
         live = {node.own.incarnation for node in self.nodes.values()}
         return all(self.alive_at(address) == live for address in self.nodes)
 
     def alive_at(self, address: str) -> set[str]:
-        """Return the incarnations that a node takes for alive."""
+        """Return the incarnations that a node considers alive."""
         known = self.nodes[address].gossip.table.records.values()
         return {k.member.incarnation for k in known if k.liveness is Liveness.ALIVE}
 
     def send(self, sender: str, outgoing: Sequence[Outgoing]) -> None:
-        """Put messages on the wire."""
+        """Schedule the delivery of messages."""
         for address, message in outgoing:
             kind = message.kind.name
             self.sent_by_kind[kind] = self.sent_by_kind.get(kind, 0) + 1
             copies = 2 if self.rng.random() < self.duplicated else 1
             for _copy in range(copies):
-                if self.rng.random() < self.loss or self.cut(sender, address):
+                if self.rng.random() < self.loss or self.is_cut(sender, address):
                     continue
                 delay_s = self.rng.random() * self.max_delay_s
                 self._at(self.now_s + delay_s, lambda a=address, m=message: self._deliver(a, m))
@@ -103,7 +103,7 @@
         if node is None:
             return
         if self.now_s < node.paused_until_s:
-            # It waits in the socket's buffer and is read when the process wakes.
+            # The datagram stays in the socket's buffer until the process resumes.
             self._at(node.paused_until_s + 0.001, lambda: self._deliver(address, message))
             return
         self.delivered += 1
--- a/tests/controllers/membership/test_drain.py
+++ b/tests/controllers/membership/test_drain.py
@@ -1,4 +1,4 @@
-"""The pure decision of a drain, and its driver."""
+"""Tests of the drain decision and its driver."""
 
 import asyncio
 
@@ -29,28 +29,28 @@
 @pytest.mark.parametrize(
     ("changes", "now_s", "step"),
     [
-        pytest.param({}, 108.9, ServeAll(), id="a kept entry list may still name it"),
-        pytest.param({"in_flight": 3}, 108.9, ServeAll(), id="and it is busy"),
-        pytest.param({}, 109.0, Stop(0), id="nothing to do"),
-        pytest.param({"in_flight": 1}, 109.0, FinishAccepted(), id="a request in flight"),
-        pytest.param({"undelivered": True}, 109.0, FinishAccepted(), id="samples not yet pulled"),
-        pytest.param({"last_busy_at_s": 108.8}, 109.0, FinishAccepted(), id="just ended"),
-        pytest.param({"last_busy_at_s": 108.4}, 109.0, Stop(0), id="ended a while ago"),
+        pytest.param({}, 108.9, ServeAll(), id="cached entry lists may contain it"),
+        pytest.param({"in_flight": 3}, 108.9, ServeAll(), id="cached entry lists and busy"),
+        pytest.param({}, 109.0, Stop(0), id="idle"),
+        pytest.param({"in_flight": 1}, 109.0, FinishAccepted(), id="request in flight"),
+        pytest.param({"undelivered": True}, 109.0, FinishAccepted(), id="undelivered samples"),
+        pytest.param({"last_busy_at_s": 108.8}, 109.0, FinishAccepted(), id="recently busy"),
+        pytest.param({"last_busy_at_s": 108.4}, 109.0, Stop(0), id="idle for long enough"),
         pytest.param({"in_flight": 1}, 168.9, FinishAccepted(), id="within its deadline"),
         pytest.param({"in_flight": 2}, 169.0, Stop(2), id="past every deadline"),
     ],
 )
-def test_what_a_draining_node_does(changes, now_s, step) -> None:
-    """A host is replaced while callers still hold entry lists that name it.
+def test_decide_drain(changes, now_s, step) -> None:
+    """A host is replaced while callers still hold entry lists that contain it.
 
-    If the node ended too early, a request in flight would be cut off; if it never
-    ended, its host could not be replaced.
+    If the node stopped too early, requests in flight would be cut off; if it never
+    stopped, its host could not be replaced.
     """
     assert decide_drain(VIEW._replace(**changes), now_s) == step
 
 
-def test_a_drain_outlives_what_is_in_flight() -> None:
-    """SIGTERM comes while a request runs for longer than any entry list is kept."""
+def test_a_drain_waits_for_requests_in_flight() -> None:
+    """SIGTERM arrives while a request runs for longer than the entry list TTL."""
 
     async def scenario() -> None:
         board = Blackboard(Identity("n1", "a", "z", "h:1", "h:2"))
--- a/tests/controllers/membership/test_list_doubt.py
+++ b/tests/controllers/membership/test_list_doubt.py
@@ -1,4 +1,4 @@
-"""What is accepted of the host list, which is late and at times wrong."""
+"""Tests of the acceptance of host list rows; the list can be late or wrong."""
 
 import pytest
 
@@ -13,27 +13,27 @@
 FIVE = [row(number) for number in range(5)]
 ONE_LEAVES = [row(0, leaving=True), *FIVE[1:]]
 CASES = {
-    "a host more": (FIVE, [*FIVE, row(7)], [*FIVE, row(7)]),
-    "a host less": (FIVE, FIVE[1:], FIVE[1:]),
-    "a host that leaves": (FIVE, ONE_LEAVES, ONE_LEAVES),
-    "all hosts gone at once": (FIVE, [], FIVE),
-    "most hosts gone, one leaves": (FIVE, ONE_LEAVES[:1], ONE_LEAVES),
-    "two of three gone": (FIVE[:3], FIVE[:1], FIVE[:1]),
-    "a row without a port": (FIVE, [*FIVE, ListedHost("x", "asesor", "z", False)], FIVE),
+    "one host added": (FIVE, [*FIVE, row(7)], [*FIVE, row(7)]),
+    "one host removed": (FIVE, FIVE[1:], FIVE[1:]),
+    "one host leaving": (FIVE, ONE_LEAVES, ONE_LEAVES),
+    "all hosts missing": (FIVE, [], FIVE),
+    "most hosts missing, one leaving": (FIVE, ONE_LEAVES[:1], ONE_LEAVES),
+    "two of three missing": (FIVE[:3], FIVE[:1], FIVE[:1]),
+    "row without a port": (FIVE, [*FIVE, ListedHost("x", "asesor", "z", False)], FIVE),
 }
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_which_rows_are_believed(name: str) -> None:
-    """The list is restarted and shows next to nothing for a while, or holds an odd row.
+def test_which_rows_are_accepted(name: str) -> None:
+    """The list is restarted and shows few rows for a while, or contains a malformed row.
 
-    Believed at once, it would leave callers without any target.
+    If such a list were accepted at once, callers would be left without targets.
     """
     current, fetched, expected = CASES[name]
     assert list(accept_rows(current, fetched, None, 100.0).rows) == expected
 
 
-def test_a_loss_that_lasts_is_believed() -> None:
+def test_a_lasting_loss_is_accepted() -> None:
     """Most of the hosts are really gone."""
     first = accept_rows(FIVE, FIVE[:1], None, 100.0)
     later = accept_rows(first.rows, FIVE[:1], first.loss_since_s, 129.0)
--- a/tests/controllers/membership/test_membership.py
+++ b/tests/controllers/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""The pure decisions of membership, over a simulated network with faults."""
+"""Tests of the gossip decisions over a simulated network with faults."""
 
 import random
 
@@ -20,7 +20,7 @@
 from .gossip_network import HEARTBEAT_S, SUSPECT_AFTER_S, Network, make_member
 
 SETTLE_S = 25.0
-INTERLEAVINGS = {"runs": 0, "datagrams": 0}
+SIMULATED = {"runs": 0, "datagrams": 0}
 
 
 def build_network(count: int, seed: int = 1) -> Network:
@@ -35,7 +35,7 @@
 def seconds_until(network: Network, condition, at_most_s: float) -> float:
     began_s = network.now_s
     while not condition():
-        assert network.now_s - began_s < at_most_s, "the condition did not come about in time"
+        assert network.now_s - began_s < at_most_s, "condition not reached in time"
         network.run(0.1)
     return network.now_s - began_s
 
@@ -64,12 +64,12 @@
         address = f"n{index % count}"
         inject_fault(network, fault, address, number, pause_s)
         network.run(pause_s)
-    network.cut = lambda _a, _b: False
+    network.is_cut = lambda _a, _b: False
     network.loss = network.duplicated = 0.0
     network.max_delay_s = 0.01
     network.run(SETTLE_S)
-    INTERLEAVINGS["runs"] += 1
-    INTERLEAVINGS["datagrams"] += network.delivered
+    SIMULATED["runs"] += 1
+    SIMULATED["datagrams"] += network.delivered
     assert network.views_agree(), {a: network.alive_at(a) for a in network.nodes}
     for viewer in network.nodes.values():
         for known in viewer.gossip.table.alive():
@@ -84,15 +84,15 @@
         case "replace":
             if address in network.nodes:
                 network.stop(address)
-            # The clock of the new host is behind that of the old one.
+            # The wall clock of the new host is behind that of the old one.
             network.start(address, f"{address}-{number}", 500 - number)
         case "pause" if address in network.nodes:
             network.nodes[address].paused_until_s = network.now_s + pause_s
         case "cut":
             side = {name for name in network.nodes if name <= address}
-            network.cut = lambda a, b: (a in side) != (b in side)
+            network.is_cut = lambda a, b: (a in side) != (b in side)
         case "heal":
-            network.cut = lambda _a, _b: False
+            network.is_cut = lambda _a, _b: False
         case "leave" if address in network.nodes:
             node = network.nodes[address]
             node.own = node.own._replace(leaving=True)
@@ -100,21 +100,21 @@
 
 
 def test_all_live_processes_agree_after_any_faults(capsys) -> None:
-    """Datagrams are lost, duplicated and late while processes die, freeze and are replaced.
+    """Datagrams are lost, duplicated and delayed while processes die, pause and are replaced.
 
-    Once the network is whole again, a node that kept a wrong view would send callers
-    to hosts that are gone, or leave a live one without work.
+    A node that kept a wrong view after the network recovered would send callers to hosts
+    that are gone, or leave a live host without work.
     """
     run_random_faults()
     with capsys.disabled():
-        print(f"\nmembership: {INTERLEAVINGS['runs']} interleavings, ", end="")
-        print(f"{INTERLEAVINGS['datagrams']} datagrams delivered")
-    assert INTERLEAVINGS["runs"] >= 60
+        print(f"\nmembership: {SIMULATED['runs']} interleavings, ", end="")
+        print(f"{SIMULATED['datagrams']} datagrams delivered")
+    assert SIMULATED["runs"] >= 60
 
 
 @pytest.mark.parametrize("count", [3, 9, 40])
 def test_a_death_is_known_everywhere_in_bounded_time(count: int) -> None:
-    """A process is killed without a word; until it is known, work is sent to it."""
+    """A process is killed without notice; until its death is known, work is sent to it."""
     network = build_network(count)
     network.stop("n2")
     seconds_until(network, network.views_agree, 5 * SUSPECT_AFTER_S)
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("count", [3, 9, 40])
 def test_leaving_is_known_everywhere_in_a_few_periods(count: int) -> None:
-    """A node begins to drain; callers must not be handed its address any more."""
+    """A node begins to drain; its address must no longer be handed to callers."""
     network = build_network(count)
     inject_fault(network, "leave", "n1", 0, 0.0)
 
@@ -133,8 +133,8 @@
     seconds_until(network, known_everywhere, 8 * HEARTBEAT_S)
 
 
-def test_a_new_revision_is_heard_of_everywhere_in_a_few_periods() -> None:
-    """One node reads a new configuration from the log; the others wait for word of it.
+def test_a_new_revision_is_known_everywhere_in_a_few_periods() -> None:
+    """One node reads a new configuration from the log; the others learn of it by gossip.
 
     It must be in force everywhere within 4 s, of which this is the first part.
     """
@@ -142,39 +142,39 @@
     node = network.nodes["n7"]
     node.own = node.own._replace(config_revision=2)
 
-    def heard_everywhere() -> bool:
+    def known_everywhere() -> bool:
         tables = [node.gossip.table for node in network.nodes.values()]
         return all(table.records["n7-a"].member.config_revision == 2 for table in tables)
 
-    seconds_until(network, heard_everywhere, 2.5)
+    seconds_until(network, known_everywhere, 2.5)
 
 
-def test_a_zone_that_is_lost_at_once_is_known_to_be_gone() -> None:
-    """A third of the hosts loses power in the same moment."""
+def test_the_loss_of_a_zone_is_detected() -> None:
+    """A third of the hosts loses power at the same time."""
     network = build_network(30)
     for index in range(10):
         network.stop(f"n{index}")
     seconds_until(network, network.views_agree, 8 * SUSPECT_AFTER_S)
 
 
-def test_halves_that_lost_each_other_meet_again() -> None:
-    """Regions are parted until each takes the other for dead, and then come back.
+def test_a_healed_partition_rejoins() -> None:
+    """A partition lasts until each side considers the other dead, and then heals.
 
-    If nobody knocked at dead addresses, there would be two systems from then on.
+    If dead addresses were not contacted, the cluster would stay split permanently.
     """
     network = build_network(8)
     side = {"n0", "n1", "n2", "n3"}
-    network.cut = lambda a, b: (a in side) != (b in side)
+    network.is_cut = lambda a, b: (a in side) != (b in side)
     network.run(600.0)
     assert network.alive_at("n5") == {"n4-a", "n5-a", "n6-a", "n7-a"}
-    network.cut = lambda _a, _b: False
+    network.is_cut = lambda _a, _b: False
     seconds_until(network, network.views_agree, 20 * HEARTBEAT_S)
 
 
-def test_a_host_replaced_with_a_clock_behind_is_shown_at_once() -> None:
-    """A host comes back at its address as a new process, and its clock runs behind.
+def test_a_replaced_host_with_a_slow_clock_is_recognized() -> None:
+    """A host is replaced at its address by a new process whose wall clock runs behind.
 
-    If the later start won, the new process would get no work for as long as its
+    If the later start time won, the new process would get no work for as long as its
     clock stays behind.
     """
     network = build_network(5)
@@ -186,11 +186,11 @@
     assert view.member.incarnation == "n3-b"
 
 
-def test_a_process_that_froze_and_woke_offers_itself_only_after_an_answer() -> None:
-    """A process freezes for a minute and wakes with an old view of the system.
+def test_a_resumed_process_is_not_ready_until_a_probe_is_answered() -> None:
+    """A process is paused for a minute and resumes with an outdated view.
 
-    What waited in its socket looks fresh. It must neither take others for dead or
-    alive by it, nor be handed to callers before it has spoken with somebody.
+    Datagrams queued in its socket look recent. They must not change its view of other
+    members, and it must not be handed to callers before a probe of its own is answered.
     """
     network = build_network(5)
     node = network.nodes["n4"]
@@ -199,22 +199,22 @@
     assert "n4-a" not in network.alive_at("n0")
     network.stop("n3")
     before = dict(node.gossip.table.records)
-    network.cut = lambda a, b: "n4" in (a, b)
+    network.is_cut = lambda a, b: "n4" in (a, b)
     network.run(1.0 + DISCARD_AFTER_PAUSE_S / 2)
     assert node.gossip.own.ready is False
     assert {k: v.made_at_s for k, v in node.gossip.table.records.items() if k != "n4-a"} == {
         k: v.made_at_s for k, v in before.items() if k != "n4-a"
     }
-    network.cut = lambda _a, _b: False
+    network.is_cut = lambda _a, _b: False
     seconds_until(
         network, lambda: network.views_agree() and node.gossip.own.ready, 5 * SUSPECT_AFTER_S
     )
 
 
-def test_a_member_that_is_wrongly_called_dead_refutes_it() -> None:
-    """One node's path to a live process fails, and it tells the others of a death."""
+def test_a_wrong_death_report_is_refuted() -> None:
+    """One node can't reach a live process and reports its death to the others."""
     network = build_network(6)
-    network.cut = lambda a, b: {a, b} == {"n0", "n5"}
+    network.is_cut = lambda a, b: {a, b} == {"n0", "n5"}
     network.run(20.0)
     assert all("n5-a" in network.alive_at(f"n{index}") for index in range(1, 5))
 
@@ -222,18 +222,18 @@
 @pytest.mark.parametrize(
     ("liveness", "sequence", "age_s", "change"),
     [
-        pytest.param(Liveness.ALIVE, 4, 0.0, RowChange.NONE, id="an old row"),
-        pytest.param(Liveness.ALIVE, 5, 0.0, RowChange.NONE, id="the same row again"),
-        pytest.param(Liveness.ALIVE, 6, 0.0, RowChange.REFRESHED, id="a fresher row"),
-        pytest.param(Liveness.DEAD, 6, 9.0, RowChange.REFRESHED, id="made before it fell silent"),
-        pytest.param(Liveness.DEAD, 6, 0.0, RowChange.UPDATED, id="made after it fell silent"),
-        pytest.param(Liveness.GONE, 6, 0.0, RowChange.NONE, id="after its own last word"),
+        pytest.param(Liveness.ALIVE, 4, 0.0, RowChange.NONE, id="older row"),
+        pytest.param(Liveness.ALIVE, 5, 0.0, RowChange.NONE, id="same row again"),
+        pytest.param(Liveness.ALIVE, 6, 0.0, RowChange.REFRESHED, id="newer row"),
+        pytest.param(Liveness.DEAD, 6, 9.0, RowChange.REFRESHED, id="made before the silence"),
+        pytest.param(Liveness.DEAD, 6, 0.0, RowChange.UPDATED, id="made after the silence"),
+        pytest.param(Liveness.GONE, 6, 0.0, RowChange.NONE, id="after its announced exit"),
     ],
 )
-def test_which_rows_change_what_is_known(liveness, sequence, age_s, change) -> None:
-    """Rows arrive late, twice, or are replayed, also of processes that are gone.
+def test_which_rows_change_the_member_table(liveness, sequence, age_s, change) -> None:
+    """Rows arrive late, twice, or are replayed, including rows of ended processes.
 
-    If one of them counted, callers would be sent to a process that is not there.
+    If such a row were accepted, callers would be sent to a process that no longer exists.
     """
     table = MemberTable()
     table.merge(make_member("n1", "a")._replace(sequence=5), 0.0, 10.0)
@@ -246,8 +246,8 @@
     )
 
 
-def test_a_replayed_row_of_a_forgotten_process_changes_nothing() -> None:
-    """Somebody replays a datagram of a process that ended hours ago."""
+def test_a_replayed_row_of_a_removed_process_changes_nothing() -> None:
+    """A datagram of a process that ended hours ago is replayed."""
     table = MemberTable()
     row = make_member("n1", "a")._replace(sequence=5)
     table.merge(row, 0.0, 0.0)
@@ -259,7 +259,7 @@
 
 
 def test_the_number_of_datagrams_per_node_does_not_grow_with_the_fleet() -> None:
-    """The fleet grows; a node that spoke to everyone would run out of its budget."""
+    """If every node contacted all others, its traffic would grow with the fleet."""
     per_node = []
     for count in (10, 30, 60):
         network = build_network(count)
@@ -275,18 +275,20 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         pytest.param(lambda _good: HeartbeatCodec("another-shared-key").pack(ping()), id="key"),
-        pytest.param(lambda good: good[:-1], id="cut short"),
+        pytest.param(lambda good: good[:-1], id="truncated"),
         pytest.param(lambda good: good[:40] + bytes([good[40] ^ 1]) + good[41:], id="bit flip"),
         pytest.param(lambda _good: b"", id="empty"),
-        pytest.param(lambda _good: HeartbeatCodec("k" * 16)._sign(b"\xc1") + b"\xc1", id="no pack"),
+        pytest.param(
+            lambda _good: HeartbeatCodec("k" * 16)._sign(b"\xc1") + b"\xc1", id="invalid msgpack"
+        ),
     ],
 )
-def test_a_datagram_that_is_not_whole_and_signed_is_rejected(spoil) -> None:
-    """A stranger, or a fault on the way, sends what no node with the key has made."""
+def test_a_forged_or_corrupted_datagram_is_rejected(corrupt) -> None:
+    """A datagram is forged without the shared key, or corrupted in transit."""
     codec = HeartbeatCodec("k" * 16)
     assert codec.unpack(codec.pack(ping())) == ping()
     with pytest.raises(HeartbeatError):
-        codec.unpack(spoil(codec.pack(ping())))
+        codec.unpack(corrupt(codec.pack(ping())))
