--- a/samphirecleat/bench/_log_reads.py
+++ b/samphirecleat/bench/_log_reads.py
@@ -65,12 +65,12 @@
 
 @contextmanager
 def _all_read() -> Iterator[None]:
-    before = config_follow.ALL_READ_UP_TO
-    config_follow.ALL_READ_UP_TO = FULL_SIZE  # type: ignore[misc]
+    before = config_follow.ALL_READ_MAX_ZONE_SIZE
+    config_follow.ALL_READ_MAX_ZONE_SIZE = FULL_SIZE  # type: ignore[misc]
     try:
         yield
     finally:
-        config_follow.ALL_READ_UP_TO = before  # type: ignore[misc]
+        config_follow.ALL_READ_MAX_ZONE_SIZE = before  # type: ignore[misc]
 
 
 async def _measure(size: int, seed: int) -> Mapping[str, float]:
--- a/samphirecleat/controllers/configuration/_config_follow.py
+++ b/samphirecleat/controllers/configuration/_config_follow.py
@@ -16,7 +16,7 @@
 from ...peers import PeerClient, PeerUnavailableError, rank_members
 from ._config_reader import ConfigReader
 
-ALL_READ_UP_TO: Final = 5
+ALL_READ_MAX_ZONE_SIZE: Final = 5
 READERS_PER_ZONE: Final = 2
 PERIOD_S: Final = 0.25
 SETTLE_PERIODS: Final = 4
@@ -44,7 +44,7 @@
     whoever gets through passes the revision on.
     """
     of_zone = [member for member in members if member.zone == zone]
-    if len(of_zone) <= ALL_READ_UP_TO:
+    if len(of_zone) <= ALL_READ_MAX_ZONE_SIZE:
         return ReadLog()
     readers = rank_members(of_zone, "config-readers")[:READERS_PER_ZONE]
     if any(reader.node_id == own_node_id for reader in readers):
--- a/samphirecleat/controllers/configuration/_config_reader.py
+++ b/samphirecleat/controllers/configuration/_config_reader.py
@@ -75,7 +75,7 @@
                 await asyncio.sleep(self._retry_s * (0.5 + self._rng.random()))
                 self._retry_s = min(LONGEST_RETRY_S, self._retry_s * 2.0)
 
-    async def drive_restating(self) -> None:
+    async def drive_restatement(self) -> None:
         """State the accepted state again, when it is time, for as long as the node lives."""
         while True:
             await asyncio.sleep(RESTATE_PERIOD_S * (0.5 + self._rng.random()))
--- a/samphirecleat/node.py
+++ b/samphirecleat/node.py
@@ -266,7 +266,7 @@
     def _drivers(self) -> Sequence[Driver]:
         return [
             self.config_reader.drive,
-            self.config_reader.drive_restating,
+            self.config_reader.drive_restatement,
             self.config_follower.drive,
             self.leases.drive_reading,
             self.membership.drive,
