--- a/samphirecleat/blackboard.py
+++ b/samphirecleat/blackboard.py
@@ -145,8 +145,10 @@
     listed_at_s: float = -math.inf  # discovery: when the list was read, or told by a peer
     listed_targets: Mapping[str, tuple[str, str, bool]] = field(default_factory=dict)  # discovery
     targets: dict[str, TargetView] = field(default_factory=dict)  # controllers.targets
-    targets_kept_at_s: float = math.inf  # target_watch: when its last whole round began
-    disproved: dict[str, DisprovedVersion] = field(default_factory=dict)  # controllers.steps
+    targets_polled_at_s: float = math.inf  # target_watch: when its last whole round began
+    disproved_versions: dict[str, DisprovedVersion] = field(
+        default_factory=dict
+    )  # controllers.steps
     leases: dict[str, LeaseView] = field(default_factory=dict)  # controllers.weights
     weights: dict[str, WeightsView] = field(default_factory=dict)  # controllers.weights
     active_trainers: Mapping[str, frozenset[str]] = field(default_factory=dict)  # step_runner
--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -193,7 +193,7 @@
 
     def _choose(self, service: Service, call: Call, attempted: Sequence[str]) -> TargetView | None:
         now_s = asyncio.get_running_loop().time()
-        if is_stale(self._board.targets_kept_at_s, now_s):
+        if is_stale(self._board.targets_polled_at_s, now_s):
             return None
         known = len(self._board.targets)
         targets = [
--- a/samphirecleat/controllers/targets/_target_watch.py
+++ b/samphirecleat/controllers/targets/_target_watch.py
@@ -106,7 +106,7 @@
     async def drive(self) -> None:
         """Ask for as long as the node lives."""
         loop = asyncio.get_running_loop()
-        if loop.time() - self._board.targets_kept_at_s >= PAUSE_S:
+        if loop.time() - self._board.targets_polled_at_s >= PAUSE_S:
             # Started again after a failure: what the others told meanwhile was missed.
             self.distrust_all()
         async with asyncio.TaskGroup() as group:
@@ -119,7 +119,7 @@
         """Ask what is to be asked now and write what was said."""
         self._refresh_wanted()
         now_s = asyncio.get_running_loop().time()
-        if is_stale(self._board.targets_kept_at_s, now_s):
+        if is_stale(self._board.targets_polled_at_s, now_s):
             # This process stood still and missed what the others told.
             self.distrust_all()
         self._end_pause(now_s)
@@ -127,7 +127,7 @@
         await asyncio.gather(*(self._ask(address) for address in asked))
         self._write([a for a in {*asked, *self.news.changed} if a in self._wanted])
         # The round's beginning: the process may have stood still in the middle of it.
-        self._board.targets_kept_at_s = now_s
+        self._board.targets_polled_at_s = now_s
 
     def distrust_all(self) -> None:
         """Take every target out of use until it answers this node and the list is read.
--- a/samphirecleat/controllers/weights/_streamed_versions.py
+++ b/samphirecleat/controllers/weights/_streamed_versions.py
@@ -21,7 +21,7 @@
 
 
 class StreamedVersions:
-    """Writes the ``disproved`` section of the blackboard."""
+    """Writes the ``disproved_versions`` section of the blackboard."""
 
     def __init__(self, board: Blackboard) -> None:
         """Compare with the target section of ``board``."""
@@ -38,23 +38,23 @@
             claim = _Claim(target.instance, target.version, now_s)
             self._claims[address] = claim
         if version >= target.version:
-            self._board.disproved.pop(address, None)
+            self._board.disproved_versions.pop(address, None)
         elif now_s - claim.first_seen_at_s > SETTLED_AFTER_S:
             # Tokens that were under way while the target swapped are not taken for this.
-            self._board.disproved[address] = DisprovedVersion(
+            self._board.disproved_versions[address] = DisprovedVersion(
                 target.instance, target.version, version, now_s
             )
 
     def forget_gone(self) -> None:
         """Forget targets that are known no more, so that memory is bounded."""
-        for known in (self._claims, self._board.disproved):
+        for known in (self._claims, self._board.disproved_versions):
             for address in [a for a in known if a not in self._board.targets]:
                 del known[address]
 
 
 def true_version(board: Blackboard, target: TargetView, now_s: float) -> int:
     """Return the version that a target's next tokens are expected to name."""
-    disproved = board.disproved.get(target.address)
+    disproved = board.disproved_versions.get(target.address)
     if disproved is None or now_s - disproved.seen_at_s > BELIEVED_FOR_S:
         return target.version
     if (disproved.instance, disproved.reported) != (target.instance, target.version):
--- a/tests/controllers/targets/test_target_watch.py
+++ b/tests/controllers/targets/test_target_watch.py
@@ -236,7 +236,7 @@
         board, watch, _answers = make_watch()
         await watch.poll_once()
         assert board.targets[ADDRESS].usable
-        board.targets_kept_at_s -= 2.0
+        board.targets_polled_at_s -= 2.0
         task = asyncio.create_task(watch.drive())
         async with asyncio.timeout(10.0):
             while watch.polls < 3:
