--- a/samphirecleat/blackboard.py
+++ b/samphirecleat/blackboard.py
@@ -1,8 +1,8 @@
-"""The blackboard: what one node knows, in sections that each have a single writer.
+"""The blackboard: the state of one node, in sections that each have a single writer.
 
-Controllers read any section and write only their own. All of it lives on one
-loop on one thread, so that no section needs a lock. Records are immutable and
-are replaced whole.
+Controllers read any section and write only their own. All sections are used from one
+event loop on one thread, so no locks are needed. Records are immutable and are
+replaced as a whole.
 """
 
 import math
@@ -15,7 +15,7 @@
 
 
 class Identity(NamedTuple):
-    """Who this process is. The incarnation is new at every start of a process."""
+    """The identity of this process; ``incarnation`` is new at every process start."""
 
     node_id: str
     incarnation: str
@@ -25,13 +25,13 @@
 
 
 class Member(NamedTuple):
-    """What a node says of itself in its heartbeats.
+    """The row that a node publishes about itself in its heartbeats.
 
-    ``sequence`` rises with every change that the node makes to its own row, so
-    that of two rows of one incarnation the newer can be told. ``key_epoch_age_ms``
-    is how far the node was into its key epoch when it made the row. ``cores`` is the
-    processor time that its host gives it, in seconds a second. ``time_of_day_ms`` is what its
-    host took for the time of day when it made the row, 0 where nobody asks.
+    ``sequence`` increases with every change of the row, so that the newer of two rows of
+    one incarnation can be told. ``key_epoch_age_ms`` is the time since the start of the
+    node's key epoch when it made the row. ``cores`` is the processor time available to
+    the node's host, in seconds per second. ``time_of_day_ms`` is the host's wall clock
+    when it made the row, 0 where it is not used.
     """
 
     node_id: str
@@ -53,9 +53,9 @@
 
 
 class MemberView(NamedTuple):
-    """A member, and when it made this row, on this node's clock.
+    """A member's row, and when the member made it, on this node's clock.
 
-    The row may have come by way of other nodes.
+    The row may have been relayed by other nodes.
     """
 
     member: Member
@@ -65,21 +65,21 @@
     def key_epoch_at(self, now_s: float, epoch_s: float) -> int:
         """Return the key epoch that the member has reached by now.
 
-        In a large fleet a row is several seconds old, and a key made from an old
-        epoch would expire early. Time that the row spent on its way is not counted,
-        so the result never runs ahead of the member itself.
+        In a large fleet a row is several seconds old, and a key made with an old epoch would
+        expire early. Transit time of the row is not counted, so the result never runs ahead
+        of the member itself.
         """
         age_s = self.member.key_epoch_age_ms / 1000.0 + max(0.0, now_s - self.heard_at_s)
         return self.member.key_epoch + int(age_s / epoch_s)
 
 
 class TargetView(NamedTuple):
-    """The latest that this node knows of one target.
+    """The latest known state of one target.
 
-    ``version`` is what the target itself reported, -1 for a plain service.
-    ``reported_at_s`` is this node's clock at the report, less the report's own
-    age. ``reachable`` turns false when the target gives no answer. ``heard_at_s`` is
-    this node's clock when some node last asked it.
+    ``version`` is the weight version reported by the target, -1 for a plain service.
+    ``reported_at_s`` is this node's clock at the report, less the report's own age.
+    ``reachable`` is false once the target stops answering. ``heard_at_s`` is this node's
+    clock when any node last polled it.
     """
 
     address: str
@@ -98,12 +98,12 @@
 
     @property
     def usable(self) -> bool:
-        """Whether new work may be sent to it."""
+        """Whether new work may be sent to the target."""
         return self.reachable and not self.leaving and not self.loading
 
 
 class DisprovedVersion(NamedTuple):
-    """A version that a target reports while its tokens come of an older one."""
+    """A version reported by a target whose streamed tokens come from an older one."""
 
     instance: str
     reported: int
@@ -114,7 +114,7 @@
 class LeaseView(NamedTuple):
     """A lease as folded from the log; ``epoch`` is the fencing number of its orders.
 
-    While it is not ``settled``, records were missed: the holder is a guess, and
+    While it is not ``settled``, records were missed: ``holder`` may be wrong, and
     ``last_offset`` is the latest record that might count.
     """
 
@@ -136,41 +136,61 @@
 
 @dataclass
 class Blackboard:
-    """All that one node knows; the comment behind each section names its writer."""
+    """The state of one node; the comment above each section names its writer."""
 
     identity: Identity
-    config: ConfigState = field(default_factory=ConfigState)  # controllers.configuration
-    members: dict[str, MemberView] = field(default_factory=dict)  # controllers.membership
-    listed_nodes: Sequence[str] = ()  # controllers.membership
-    listed_at_s: float = -math.inf  # discovery: when the list was read, or told by a peer
-    listed_targets: Mapping[str, tuple[str, str, bool]] = field(default_factory=dict)  # discovery
-    targets: dict[str, TargetView] = field(default_factory=dict)  # controllers.targets
-    targets_polled_at_s: float = math.inf  # target_watch: when its last whole round began
-    disproved_versions: dict[str, DisprovedVersion] = field(
-        default_factory=dict
-    )  # controllers.steps
-    leases: dict[str, LeaseView] = field(default_factory=dict)  # controllers.weights
-    weights: dict[str, WeightsView] = field(default_factory=dict)  # controllers.weights
-    active_trainers: Mapping[str, frozenset[str]] = field(default_factory=dict)  # step_runner
-    in_flight: Counter[str] = field(default_factory=Counter)  # requests.dispatcher, by target
-    refusals: Counter[str] = field(default_factory=Counter)  # entry, by error kind
-    key_epoch: int = 0  # requests.key_book
-    leaving: bool = False  # controllers.membership
-    accepting: bool = True  # controllers.membership
+
+    # Written by controllers.configuration.
+    config: ConfigState = field(default_factory=ConfigState)
+
+    # Written by controllers.membership.
+    members: dict[str, MemberView] = field(default_factory=dict)
+    listed_nodes: Sequence[str] = ()
+    # When the host list was last read, or fetched from a peer.
+    listed_at_s: float = -math.inf
+    listed_targets: Mapping[str, tuple[str, str, bool]] = field(default_factory=dict)
+
+    # Written by controllers.targets.
+    targets: dict[str, TargetView] = field(default_factory=dict)
+    # When the last complete polling round began.
+    targets_polled_at_s: float = math.inf
+
+    # Written by controllers.steps.
+    disproved_versions: dict[str, DisprovedVersion] = field(default_factory=dict)
+
+    # Written by controllers.weights.
+    leases: dict[str, LeaseView] = field(default_factory=dict)
+    weights: dict[str, WeightsView] = field(default_factory=dict)
+
+    # Written by controllers.steps: trainers with steps at this node, by service.
+    active_trainers: Mapping[str, frozenset[str]] = field(default_factory=dict)
+
+    # Written by controllers.admission: this node's calls in flight, by target address.
+    in_flight: Counter[str] = field(default_factory=Counter)
+
+    # Written by entry: refused requests, by error kind.
+    refusals: Counter[str] = field(default_factory=Counter)
+
+    # Written by requests.
+    key_epoch: int = 0
+
+    # Written by controllers.membership.
+    leaving: bool = False
+    accepting: bool = True
 
     @property
     def ready(self) -> bool:
-        """Whether this node may be handed to callers: it holds a text and stays."""
+        """Whether callers may be sent to this node: it has a configuration and is not leaving."""
         return self.config.revision >= 0 and not self.leaving
 
     def service(self, name: str) -> Service | None:
-        """Return a service of the text in force, or None."""
+        """Return a service of the configuration in force, or None."""
         return self.config.services.services.get(name)
 
     def targets_of(self, service: str) -> Sequence[TargetView]:
-        """Return what is known of the targets of a service."""
+        """Return the known targets of a service."""
         return [target for target in self.targets.values() if target.service == service]
 
     def live_members(self) -> Sequence[Member]:
-        """Return the members that this node takes for alive, itself included."""
+        """Return the members considered alive, including this node."""
         return [view.member for view in self.members.values() if view.alive]
--- a/samphirecleat/controllers/__init__.py
+++ b/samphirecleat/controllers/__init__.py
@@ -1,4 +1,4 @@
-"""The controllers: each decides purely, and a thin driver acts on what it decided.
+"""The controllers: pure decision functions, and thin drivers that apply the decisions.
 
-One package for each matter; what changes one matter is all in one place.
+Each concern has a package of its own.
 """
--- a/samphirecleat/controllers/configuration/__init__.py
+++ b/samphirecleat/controllers/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The text in force at this node: read from the log, taken over from peers, stated again."""
+"""The configuration in force at this node: read from the log, adopted from peers, restated."""
 
 from ._config_follow import ConfigFollower
 from ._config_reader import ConfigReader
--- a/samphirecleat/controllers/configuration/_config_reader.py
+++ b/samphirecleat/controllers/configuration/_config_reader.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration section up to date from the log, and states it again there."""
+"""Updates the configuration section from the log, and restates it in the log."""
 
 import asyncio
 import random
@@ -17,23 +17,23 @@
 from ...peers import rank_members
 from ...platform import Log, LogUnavailableError, ReadPatience
 from ._config_restate import (
-    LeaveStated,
+    RecordedState,
     Restate,
-    StatementView,
+    SkipRestatement,
     decide_restatement,
-    note_batch,
-    note_outage,
+    view_after_batch,
+    view_after_outage,
 )
 
 CONFIG_STREAM: Final = "config"
 RETRY_S: Final = 0.2
-LONGEST_RETRY_S: Final = 2.0
-LISTEN_READ_S: Final = 60.0
+MAX_RETRY_S: Final = 2.0
+FALLBACK_READ_PERIOD_S: Final = 60.0
 RESTATE_PERIOD_S: Final = 0.5
 
 
 class ConfigReader:
-    """Folds the configuration stream, takes over peers' states, and restates."""
+    """Folds the configuration stream, adopts peers' states, and appends restatements."""
 
     def __init__(
         self,
@@ -45,7 +45,11 @@
         wait_s: float,
         retention_s: float,
     ) -> None:
-        """Wait up to ``wait_s`` in each read; the log keeps records ``retention_s``."""
+        """Create a reader.
+
+        Each read waits up to ``wait_s`` for new records; the log keeps records for
+        ``retention_s``.
+        """
         self._board = board
         self._log = log
         self._observer = observer
@@ -53,53 +57,53 @@
         self._wait_s = wait_s
         self._retention_s = retention_s
         self._patience = ReadPatience()
-        self._statement = StatementView()
+        self._recorded_state = RecordedState()
         self._jitter = rng.random()
-        self._waits_at_log = True
-        self._chosen = asyncio.Event()
+        self._long_polls = True
+        self._long_polling_enabled = asyncio.Event()
         self._retry_s = RETRY_S
-        self._restate_again_at_s = 0.0
+        self._next_restatement_at_s = 0.0
         self.reads_log = False
 
     async def drive(self) -> None:
-        """Read the log for as long as the node lives."""
+        """Read the log until cancelled."""
         while True:
-            if not self._waits_at_log:
-                await self._listen()
+            if not self._long_polls:
+                await self._wait_for_next_read()
             try:
                 await self._read_once()
                 self._retry_s = RETRY_S
             except LogUnavailableError as error:
-                self._note_outage(error)
-                # Jitter: all nodes meet the outage at once and would return at once.
+                self._handle_outage(error)
+                # Jitter, so that nodes do not all reconnect at once after an outage.
                 await asyncio.sleep(self._retry_s * (0.5 + self._rng.random()))
-                self._retry_s = min(LONGEST_RETRY_S, self._retry_s * 2.0)
+                self._retry_s = min(MAX_RETRY_S, self._retry_s * 2.0)
 
     async def drive_restatement(self) -> None:
-        """State the accepted state again, when it is time, for as long as the node lives."""
+        """Restate the accepted state whenever it is due, until cancelled."""
         while True:
             await asyncio.sleep(RESTATE_PERIOD_S * (0.5 + self._rng.random()))
             await self.restate_once()
 
-    def choose(self, *, waits_at_log: bool) -> None:
-        """Set whether this node waits at the log or only looks now and then."""
-        self._waits_at_log = waits_at_log
-        if waits_at_log:
-            self._chosen.set()
+    def set_long_polling(self, *, enabled: bool) -> None:
+        """Set whether this node long-polls the log or only reads it occasionally."""
+        self._long_polls = enabled
+        if enabled:
+            self._long_polling_enabled.set()
         else:
-            self._chosen.clear()
+            self._long_polling_enabled.clear()
 
-    def take_from_peer(self, restatement: Restatement) -> None:
-        """Take over a peer's state if it knows more than this node."""
-        self._put(adopt_peer_state(self._board.config, restatement))
+    def adopt_from_peer(self, restatement: Restatement) -> None:
+        """Adopt a peer's state if it is ahead of this node's."""
+        self._set_state(adopt_peer_state(self._board.config, restatement))
 
     async def restate_once(self) -> None:
-        """Append the accepted state once if it is due and this node's turn."""
+        """Append the accepted state if a restatement is due and it is this node's turn."""
         now_s = asyncio.get_running_loop().time()
-        if now_s < self._restate_again_at_s or self._board.leaving:
+        if now_s < self._next_restatement_at_s or self._board.leaving:
             return
         action = decide_restatement(
-            self._statement,
+            self._recorded_state,
             self._board.config,
             rank=self._rank(),
             jitter=self._jitter,
@@ -107,17 +111,19 @@
             now_s=now_s,
         )
         match action:
-            case LeaveStated():
+            case SkipRestatement():
                 return
             case Restate(restatement=restatement):
-                # The append may take effect unseen. Its record is awaited before
-                # another try; a second restatement would only be waste.
-                pause_s = self._wait_s + LONGEST_RETRY_S
-                self._restate_again_at_s = now_s + pause_s * (1.0 + self._rng.random())
+                # An append reported as failed may still take effect. Its record is
+                # awaited before a retry, which could be redundant.
+                pause_s = self._wait_s + MAX_RETRY_S
+                self._next_restatement_at_s = now_s + pause_s * (1.0 + self._rng.random())
                 payload = restatement_payload(restatement)
                 appended = await self._log.append(CONFIG_STREAM, payload)
                 self._observer.log("config").info(
-                    "Restated revision %d: %s.", restatement.revision, appended.outcome.value
+                    "Restatement of revision %d: %s.",
+                    restatement.revision,
+                    appended.outcome.value,
                 )
 
     def _rank(self) -> int:
@@ -126,41 +132,46 @@
         own_id = self._board.identity.node_id
         return ids.index(own_id) if own_id in ids else len(ids)
 
-    async def _listen(self) -> None:
-        """Return when this node is to read, or has not looked for long."""
-        pause_s = LISTEN_READ_S * (0.5 + self._rng.random())
-        await wait_for_event(self._chosen, pause_s)
+    async def _wait_for_next_read(self) -> None:
+        """Return when long polling is enabled or the next occasional read is due."""
+        pause_s = FALLBACK_READ_PERIOD_S * (0.5 + self._rng.random())
+        await wait_for_event(self._long_polling_enabled, pause_s)
 
     async def _read_once(self) -> None:
         state = self._board.config
         from_offset = state.folded_to + 1
         sent_at_s = asyncio.get_running_loop().time()
-        wait_s = self._wait_s if self._waits_at_log else 0.0
+        wait_s = self._wait_s if self._long_polls else 0.0
         batch = await self._patience.read(self._log, CONFIG_STREAM, from_offset, wait_s)
         self.reads_log = True
         if batch.next_offset < from_offset:
-            # The stream is shorter than what was read from it: the log was set up
-            # anew. Its lower offsets could only make the revision fall.
+            # The stream is shorter than what was already read, so the log was
+            # recreated. Applying its lower offsets could only lower the revision.
             self._observer.log("config").error(
-                "The log ends at offset %d, before %d.", batch.next_offset, from_offset
+                "Log ends at offset %d, before the read position %d.",
+                batch.next_offset,
+                from_offset,
             )
-            await asyncio.sleep(LONGEST_RETRY_S)
+            await asyncio.sleep(MAX_RETRY_S)
             return
-        self._put(fold_records(self._board.config, batch.records, batch.first_kept_offset))
-        self._statement = note_batch(self._statement, batch, self._board.config, sent_at_s)
+        self._set_state(fold_records(self._board.config, batch.records, batch.first_kept_offset))
+        self._recorded_state = view_after_batch(
+            self._recorded_state, batch, self._board.config, sent_at_s
+        )
 
-    def _put(self, state: ConfigState) -> None:
+    def _set_state(self, state: ConfigState) -> None:
         before = self._board.config
         self._board.config = state
         if state.revision != before.revision:
             self._observer.log("config").info("Revision %d is in force.", state.revision)
         if before.certain and not state.certain:
             self._observer.log("config").warning(
-                "Records before offset %d were trimmed unread.", state.unread_below
+                "Records before offset %d were trimmed before they were read.",
+                state.unread_below,
             )
 
-    def _note_outage(self, error: LogUnavailableError) -> None:
+    def _handle_outage(self, error: LogUnavailableError) -> None:
         if self.reads_log:
-            self._observer.log("config").warning("Log not readable: %s.", error)
+            self._observer.log("config").warning("Failed to read the log: %s.", error)
         self.reads_log = False
-        self._statement = note_outage(self._statement)
+        self._recorded_state = view_after_outage(self._recorded_state)
--- a/samphirecleat/controllers/configuration/_config_restate.py
+++ b/samphirecleat/controllers/configuration/_config_restate.py
@@ -1,9 +1,9 @@
-"""Decides when a node states the accepted configuration again in the log.
+"""Decides when a node restates the accepted configuration in the log.
 
-The log keeps records only for a limited time. If the record that put the
-revision in force were trimmed, a node that starts could not tell what is in
-force; so one node appends the state again before half of that time has passed.
-A second restatement is waste and changes nothing.
+The log keeps records only for a limited time. If the record that put the revision in
+force were trimmed, a new node could not tell what is in force; so one node appends
+the state again before half of that time has passed. A redundant restatement wastes an
+append and changes nothing.
 """
 
 import math
@@ -14,27 +14,26 @@
 from ...platform import LogBatch
 
 RESTATE_FRACTION: Final = 0.25
-STEP_FRACTION: Final = 0.05
-LONGEST_STEP_S: Final = 10.0
-LAST_RANK: Final = 4
+RANK_DELAY_FRACTION: Final = 0.05
+MAX_RANK_DELAY_S: Final = 10.0
+MAX_DELAYED_RANK: Final = 4
 NEVER_S: Final = -math.inf
 
 
-class StatementView(NamedTuple):
-    """What a node knows of the newest statement of its state in the log.
+class RecordedState(NamedTuple):
+    """What a node knows of the newest record of the accepted state in the log.
 
-    The log gives no times. ``stated_at_s`` is therefore a lower bound on this
-    node's clock: the start of the last read that found nothing new before the
-    statement arrived, or ``NEVER_S`` when there was none. ``at_end_since_s`` is
-    when the present run of answered reads first found nothing new, ``inf`` while
-    the log is not read to its end.
+    The log gives no times, so ``recorded_at_s`` is a lower bound on this node's clock: the
+    start of the last read that found nothing new before the record arrived, or ``NEVER_S``
+    if there was none. ``caught_up_since_s`` is when the current run of successful reads
+    first found nothing new, ``inf`` while the log is not read to its end.
     """
 
-    stated_offset: int = -1
-    stated_at_s: float = NEVER_S
+    recorded_offset: int = -1
+    recorded_at_s: float = NEVER_S
     first_kept_offset: int = 0
-    at_end_since_s: float = math.inf
-    at_end_at_s: float = NEVER_S
+    caught_up_since_s: float = math.inf
+    caught_up_at_s: float = NEVER_S
 
 
 @dataclass(frozen=True)
@@ -45,39 +44,39 @@
 
 
 @dataclass(frozen=True)
-class LeaveStated:
+class SkipRestatement:
     """Append nothing now."""
 
 
-RestateAction = Restate | LeaveStated
+RestateAction = Restate | SkipRestatement
 
 
-def note_batch(
-    view: StatementView, batch: LogBatch, state: ConfigState, sent_at_s: float
-) -> StatementView:
+def view_after_batch(
+    view: RecordedState, batch: LogBatch, state: ConfigState, sent_at_s: float
+) -> RecordedState:
     """Return the view after a read that was sent at ``sent_at_s``.
 
     ``state`` is the state after the batch was folded.
     """
     view = view._replace(first_kept_offset=batch.first_kept_offset)
     if not batch.records:
-        since_s = min(view.at_end_since_s, sent_at_s)
-        return view._replace(at_end_since_s=since_s, at_end_at_s=sent_at_s)
+        since_s = min(view.caught_up_since_s, sent_at_s)
+        return view._replace(caught_up_since_s=since_s, caught_up_at_s=sent_at_s)
     for record in batch.records:
         restated = read_record(record.payload)
         is_restated = isinstance(restated, Restatement) and restated.revision == state.revision
         if record.offset == state.revision or is_restated:
-            view = view._replace(stated_offset=record.offset, stated_at_s=view.at_end_at_s)
+            view = view._replace(recorded_offset=record.offset, recorded_at_s=view.caught_up_at_s)
     return view
 
 
-def note_outage(view: StatementView) -> StatementView:
-    """Return the view after a read that was not answered."""
-    return view._replace(at_end_since_s=math.inf)
+def view_after_outage(view: RecordedState) -> RecordedState:
+    """Return the view after a failed read."""
+    return view._replace(caught_up_since_s=math.inf)
 
 
 def decide_restatement(
-    view: StatementView,
+    view: RecordedState,
     state: ConfigState,
     *,
     rank: int,
@@ -85,21 +84,20 @@
     retention_s: float,
     now_s: float,
 ) -> RestateAction:
-    """Decide whether to state the accepted state again.
+    """Decide whether to restate the accepted state.
 
-    ``rank`` is this node's place in the rendezvous order of the live members,
-    ``jitter`` a number from 0.0 to 1.0. The first node goes first; the others
-    come in only if they see no restatement of its. After an outage the time
-    counts from when the log was read to its end, so that its return is not met
-    by one append of every node.
+    ``rank`` is this node's position in the rendezvous order of the live members and
+    ``jitter`` a number from 0.0 to 1.0. The first node restates first; the others follow
+    only if they see no restatement. After an outage the delay counts from when the log was
+    read to its end, so that not every node appends as soon as the log returns.
     """
-    nothing_to_state = state.folded_to < 0
-    if nothing_to_state or not state.certain or view.at_end_since_s == math.inf:
-        return LeaveStated()
-    step_s = min(LONGEST_STEP_S, STEP_FRACTION * retention_s)
-    due_at_s = max(view.stated_at_s + RESTATE_FRACTION * retention_s, view.at_end_since_s)
-    if view.first_kept_offset > view.stated_offset:
-        due_at_s = view.at_end_since_s
-    if now_s < due_at_s + step_s * (min(rank, LAST_RANK) + jitter):
-        return LeaveStated()
+    has_no_state = state.folded_to < 0
+    if has_no_state or not state.certain or view.caught_up_since_s == math.inf:
+        return SkipRestatement()
+    rank_delay_s = min(MAX_RANK_DELAY_S, RANK_DELAY_FRACTION * retention_s)
+    due_at_s = max(view.recorded_at_s + RESTATE_FRACTION * retention_s, view.caught_up_since_s)
+    if view.first_kept_offset > view.recorded_offset:
+        due_at_s = view.caught_up_since_s
+    if now_s < due_at_s + rank_delay_s * (min(rank, MAX_DELAYED_RANK) + jitter):
+        return SkipRestatement()
     return Restate(state_to_tell(state))
--- a/samphirecleat/controllers/policies.py
+++ b/samphirecleat/controllers/policies.py
@@ -1,4 +1,4 @@
-"""The policies that a node is built with, and the baselines that benches measure against.
+"""The policies of a node, including the baselines that the benches compare against.
 
 Each family is a set of frozen data classes; the decision functions of
 :mod:`~samphirecleat.controllers.admission` match on them.
@@ -13,30 +13,30 @@
 
 @dataclass(frozen=True)
 class RandomTarget:
-    """Baseline: any usable target with equal chance."""
+    """Baseline: a usable target chosen uniformly at random."""
 
 
 @dataclass(frozen=True)
 class RoundRobin:
-    """Baseline: the usable targets in turn, as this node counts."""
+    """Baseline: the usable targets in rotation, counted per node."""
 
 
 @dataclass(frozen=True)
 class LeastReported:
-    """Baseline: the target with the lowest last report; nodes that share reports herd."""
+    """Baseline: the target with the lowest reported load; nodes with the same reports herd."""
 
 
 @dataclass(frozen=True)
 class TwoChoices:
-    """The better of two targets drawn at random, without regard to prefixes."""
+    """The less loaded of two random targets, regardless of prompt prefixes."""
 
 
 @dataclass(frozen=True)
 class PrefixAffinity:
-    """The targets that rank first for the prompt's prefix, while their load is bounded.
+    """The highest-ranked target for the prompt's prefix whose load is within a bound.
 
-    A target is passed over when its expected load exceeds ``load_bound`` times
-    the mean of the service, plus one call. ``prefix_length`` is in characters.
+    A target is skipped if its expected load exceeds ``load_bound`` times the mean of the
+    service, plus one call. ``prefix_length`` is in characters.
     """
 
     prefix_length: int = 32
@@ -48,25 +48,25 @@
 
 @dataclass(frozen=True)
 class NoLimits:
-    """Baseline: everything is admitted at once."""
+    """Baseline: every call is admitted immediately."""
 
 
 @dataclass(frozen=True)
 class StaticShare:
-    """Baseline: a fixed share of the service's slots for each node, no classes."""
+    """Baseline: each node gets a fixed share of the slots, for callers and trainers alike."""
 
     slack: float = 1.5
 
 
 @dataclass(frozen=True)
 class AdaptiveWindow:
-    """A window for each class that follows the reported occupancy of the targets.
+    """A window per class that follows the reported occupancy of the targets.
 
-    Occupancy is running plus waiting calls per slot. Trainers grow while it is
-    below ``trainer_occupancy`` and give way above it; callers give way only
-    above ``caller_occupancy``, and never below ``caller_slack`` times this node's
-    even share of the slots. Windows grow by their part of what is free and shrink
-    to ``decrease`` of themselves.
+    Occupancy is running plus waiting calls per slot. The trainers' window grows while
+    occupancy is below ``trainer_occupancy`` and shrinks above it; the callers' window
+    shrinks only above ``caller_occupancy``, and never below ``caller_slack`` times this
+    node's even share of the slots. A window grows by its part of the free slots and
+    shrinks by the factor ``decrease``.
     """
 
     trainer_occupancy: float = 0.9
@@ -79,11 +79,11 @@
 
 
 class RetryLimit(NamedTuple):
-    """How many retries a node may send for a service, in retries.
+    """The retry budget of a node for one service, in retries.
 
-    Each first attempt earns ``ratio`` of a retry, up to ``cap`` saved ones. The
-    cap is what all nodes together may send on top in the first moment of a
-    fault, so it is kept small: it counts once for each node.
+    Each first attempt earns ``ratio`` of a retry, up to a balance of ``cap``. All nodes
+    together may send ``cap`` retries each in the first moment of a fault, so the cap is
+    kept small.
     """
 
     ratio: float = 0.2
@@ -91,7 +91,7 @@
 
 
 class Policies(NamedTuple):
-    """The policies of one node; the defaults are what the benches favoured."""
+    """The policies of one node."""
 
     routing: RoutingPolicy = PrefixAffinity()
     limits: LimitPolicy = AdaptiveWindow()
--- a/tests/controllers/configuration/test_config_follow.py
+++ b/tests/controllers/configuration/test_config_follow.py
@@ -5,9 +5,9 @@
 from samphirecleat.blackboard import Member
 from samphirecleat.config import ConfigState
 from samphirecleat.controllers.configuration._config_follow import (
-    ListenToPeers,
+    FollowPeers,
     ReadLog,
-    decide_reading,
+    choose_config_source,
     peers_to_ask,
 )
 
@@ -33,7 +33,7 @@
 
 
 def readers(members: list[Member]) -> list[str]:
-    chosen = [m for m in members if decide_reading(m.node_id, m.zone, members) == ReadLog()]
+    chosen = [m for m in members if choose_config_source(m.node_id, m.zone, members) == ReadLog()]
     return [m.node_id for m in chosen]
 
 
@@ -65,11 +65,11 @@
 
 
 def test_a_node_that_is_not_in_its_own_view_yet_reads() -> None:
-    assert decide_reading("n0", "bilbao-a", []) == ReadLog()
+    assert choose_config_source("n0", "bilbao-a", []) == ReadLog()
     others = [member(number, reads_log=False) for number in range(1, 9)]
-    assert decide_reading("n0", "bilbao-a", others) == ReadLog()
+    assert choose_config_source("n0", "bilbao-a", others) == ReadLog()
     reading = [m._replace(reads_log=True) for m in others]
-    assert decide_reading("n0", "bilbao-a", reading) == ListenToPeers()
+    assert choose_config_source("n0", "bilbao-a", reading) == FollowPeers()
 
 
 ASKED = {
