--- a/tests/controllers/configuration/test_config_restate.py
+++ b/tests/controllers/configuration/test_config_restate.py
@@ -1,4 +1,4 @@
-"""When the accepted configuration is stated again, and by how many nodes."""
+"""Tests of when the accepted configuration is restated, and by how many nodes."""
 
 import math
 
@@ -28,36 +28,36 @@
 RETENTION_S = 1000.0
 RECORD = LogRecord(0, publication_payload(Publication("p", -1, text_of("asesor"), "ana")))
 STATE = fold_records(ConfigState(), [RECORD], 0)
-BEHIND_A_GAP = fold_records(STATE, [], 9)
-FRESH = RecordedState(
+UNCERTAIN_STATE = fold_records(STATE, [], 9)
+RECENT = RecordedState(
     recorded_offset=0, recorded_at_s=100.0, caught_up_since_s=50.0, caught_up_at_s=340.0
 )
 
 CASES = {
-    "fresh enough": (FRESH, STATE, 0, 349.0, False),
-    "a quarter of the retention has passed": (FRESH, STATE, 0, 350.0, True),
-    "another goes first": (FRESH, STATE, 1, 350.0, False),
-    "the first did not": (FRESH, STATE, 1, 360.0, True),
-    "the last in order, before half": (FRESH, STATE, 300, 390.0, True),
-    "uncertain": (FRESH, BEHIND_A_GAP, 0, 999.0, False),
-    "nothing read yet": (FRESH, ConfigState(), 0, 999.0, False),
-    "the log is out": (view_after_outage(FRESH), STATE, 0, 999.0, False),
-    "the log is back after long": (
-        FRESH._replace(caught_up_since_s=5000.0),
+    "recent record": (RECENT, STATE, 0, 349.0, False),
+    "a quarter of the retention has passed, rank 0": (RECENT, STATE, 0, 350.0, True),
+    "a quarter of the retention has passed, rank 1": (RECENT, STATE, 1, 350.0, False),
+    "delay of rank 1 has passed": (RECENT, STATE, 1, 360.0, True),
+    "delay of the last rank has passed": (RECENT, STATE, 300, 390.0, True),
+    "uncertain": (RECENT, UNCERTAIN_STATE, 0, 999.0, False),
+    "no configuration": (RECENT, ConfigState(), 0, 999.0, False),
+    "log outage": (view_after_outage(RECENT), STATE, 0, 999.0, False),
+    "log restored, rank 0": (
+        RECENT._replace(caught_up_since_s=5000.0),
         STATE,
         0,
         5000.0,
         True,
     ),
-    "the log is back, and others go first": (
-        FRESH._replace(caught_up_since_s=5000.0),
+    "log restored, rank 2": (
+        RECENT._replace(caught_up_since_s=5000.0),
         STATE,
         2,
         5019.0,
         False,
     ),
-    "trimmed past the statement": (
-        FRESH._replace(first_kept_offset=1, caught_up_since_s=120.0),
+    "record trimmed": (
+        RECENT._replace(first_kept_offset=1, caught_up_since_s=120.0),
         STATE,
         0,
         120.0,
@@ -67,30 +67,30 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_when_the_state_is_stated_again(name: str) -> None:
-    """The log trims the accepted text, or comes back from an outage without it.
+def test_decide_restatement(name: str) -> None:
+    """The log trims the accepted configuration, or returns from an outage without it.
 
-    A node that starts then would hold no text and serve nobody; if every node
-    restated at once, the log would refuse what operators publish.
+    A new node would then have no configuration and serve no caller; if every node restated
+    at once, the log would refuse operators' publications.
     """
-    view, state, rank, now_s, restates = CASES[name]
+    view, state, rank, now_s, expect_restatement = CASES[name]
     action = decide_restatement(
         view, state, rank=rank, jitter=0.0, retention_s=RETENTION_S, now_s=now_s
     )
-    assert action == (Restate(state_to_tell(state)) if restates else SkipRestatement())
+    assert action == (Restate(state_to_tell(state)) if expect_restatement else SkipRestatement())
 
 
 @pytest.mark.parametrize("rank", [0, 1, 3, 4, 389])
-def test_every_rank_comes_before_half_of_the_retention(rank: int) -> None:
-    """All nodes before this one in the order died just then."""
+def test_every_rank_restates_before_half_of_the_retention(rank: int) -> None:
+    """All nodes that precede this one in the order have just died."""
     action = decide_restatement(
-        FRESH, STATE, rank=rank, jitter=1.0, retention_s=RETENTION_S, now_s=599.0
+        RECENT, STATE, rank=rank, jitter=1.0, retention_s=RETENTION_S, now_s=599.0
     )
     assert isinstance(action, Restate)
 
 
-def test_a_statement_is_as_old_as_the_last_read_that_did_not_hold_it() -> None:
-    """The log gives no times: a record met after an outage may be of any age."""
+def test_recorded_at_is_the_last_read_before_the_record() -> None:
+    """The log gives no times, so a record first read after an outage may be of any age."""
     empty = LogBatch([], 0, 0)
     stated = LogBatch([RECORD], 0, 1)
     found = view_after_batch(RecordedState(), stated, STATE, sent_at_s=70.0)
