--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -29,9 +29,9 @@
 
 @dataclass
 class _Attempts:
-    """Attempts made for one call; ``may_have_run`` includes the current attempt."""
+    """Attempts at one call: the targets tried, and whether one, the current included, may have run it."""
 
-    attempted: list[str] = field(default_factory=list)
+    addresses: list[str] = field(default_factory=list)
     may_have_run: bool = False
     last_error: RequestError | None = None
 
@@ -126,12 +126,12 @@
         budget.note_first_attempt()
         while True:
             self._refuse_if_barred(call, attempts)
-            target = self._choose(service, call, attempts.attempted)
+            target = self._choose(service, call, attempts.addresses)
             if target is None:
                 raise _downgrade_not_run(
                     attempts.last_error or _no_target(service), attempts.may_have_run
                 )
-            attempts.attempted.append(target.address)
+            attempts.addresses.append(target.address)
             earlier_may_have_run = attempts.may_have_run
             attempts.may_have_run = True
             started_at_s = asyncio.get_running_loop().time()
@@ -149,7 +149,7 @@
                 decision = decide_retry(
                     call,
                     error.failure,
-                    attempt=len(attempts.attempted),
+                    attempt=len(attempts.addresses),
                     answer_started=answer.started,
                     now_s=asyncio.get_running_loop().time(),
                 )
@@ -220,7 +220,7 @@
         in_flight: Counter[str] = self._board.in_flight
         in_flight[target.address] += 1
         answer.target = target.address
-        held: list[AnswerLine] = []
+        buffered: list[AnswerLine] = []
         tokens = 0
         # Only a streamed answer is passed on before its end. Any other answer is
         # buffered, so that lines of a failed attempt never reach the caller.
@@ -235,8 +235,8 @@
                         if streamed:
                             answer.add(line)
                         else:
-                            held.append(line)
-            for line in held:
+                            buffered.append(line)
+            for line in buffered:
                 answer.add(line)
             ended_at_s = asyncio.get_running_loop().time()
             self._latencies.record(target.address, ended_at_s - now_s, tokens, ended_at_s)
--- a/samphirecleat/controllers/admission/_limiter.py
+++ b/samphirecleat/controllers/admission/_limiter.py
@@ -34,7 +34,7 @@
 
     order: tuple[int, int]
     latest_start_s: float = field(compare=False)
-    start_signal: asyncio.Future[None] = field(compare=False)
+    granted: asyncio.Future[None] = field(compare=False)
 
 
 @dataclass
@@ -166,20 +166,14 @@
         )
 
     async def _wait(self, state: _ServiceState, call: Call) -> None:
-        start_signal: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        granted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         latest_start_s = call.deadline_at_s - state.service_time.high_estimate_s
-        queued_call = _QueuedCall(
-            (-call.priority, next(self._arrivals)), latest_start_s, start_signal
-        )
+        queued_call = _QueuedCall((-call.priority, next(self._arrivals)), latest_start_s, granted)
         heapq.heappush(state.queued_calls, queued_call)
         try:
-            await start_signal
+            await granted
         except asyncio.CancelledError:
-            if (
-                start_signal.done()
-                and not start_signal.cancelled()
-                and start_signal.exception() is None
-            ):
+            if granted.done() and not granted.cancelled() and granted.exception() is None:
                 # The slot was granted just before the cancellation: release it, or the
                 # window would stay one call smaller permanently.
                 state.change(call.work_class, -1)
@@ -191,21 +185,19 @@
         window = self._windows(service).callers
         while state.queued_calls and state.callers < window:
             queued_call = heapq.heappop(state.queued_calls)
-            if not queued_call.start_signal.done():
+            if not queued_call.granted.done():
                 state.change(WorkClass.CALLER, 1)
-                queued_call.start_signal.set_result(None)
+                queued_call.granted.set_result(None)
 
     def _refuse_expired(self, service: str) -> None:
         """Refuse queued calls that can no longer end before their deadline."""
         state = self._services[service]
         now_s = asyncio.get_running_loop().time()
         for queued_call in state.queued_calls:
-            if queued_call.latest_start_s <= now_s and not queued_call.start_signal.done():
-                queued_call.start_signal.set_exception(
-                    _overloaded(service, state.service_time.mean_s)
-                )
+            if queued_call.latest_start_s <= now_s and not queued_call.granted.done():
+                queued_call.granted.set_exception(_overloaded(service, state.service_time.mean_s))
         state.queued_calls = [
-            queued_call for queued_call in state.queued_calls if not queued_call.start_signal.done()
+            queued_call for queued_call in state.queued_calls if not queued_call.granted.done()
         ]
         heapq.heapify(state.queued_calls)
 
--- a/samphirecleat/controllers/membership/_discovery.py
+++ b/samphirecleat/controllers/membership/_discovery.py
@@ -48,9 +48,9 @@
 
     def update(self, rows: Sequence[ListedHost], now_s: float) -> None:
         """Apply a list that this node read itself."""
-        fresh = {row.address: row for row in rows}
-        for address in set(fresh) | set(self.rows):
-            self._note(address, fresh.get(address), now_s)
+        read_rows = {row.address: row for row in rows}
+        for address in set(read_rows) | set(self.rows):
+            self._set_row(address, read_rows.get(address), now_s)
         self.rows = {
             address: listed
             for address, listed in self.rows.items()
@@ -61,7 +61,7 @@
         """Apply a change read by another node, unless this node has a later reading."""
         row = ListedHost(change.address, change.service, change.zone, change.leaving)
         read_at_s = now_s - change.age_ms / 1000.0
-        self._note(change.address, row if change.present else None, read_at_s)
+        self._set_row(change.address, row if change.present else None, read_at_s)
 
     def take_changes(self, now_s: float) -> Sequence[ListedChange]:
         """Return pending changes for one datagram, counting one transmission of each."""
@@ -76,7 +76,7 @@
         """Return the rows that are currently on the list."""
         return [listed.row for listed in self.rows.values() if listed.row is not None]
 
-    def _note(self, address: str, row: ListedHost | None, read_at_s: float) -> None:
+    def _set_row(self, address: str, row: ListedHost | None, read_at_s: float) -> None:
         known = self.rows.get(address)
         if known is not None and (read_at_s <= known.read_at_s or known.row is row is None):
             return
@@ -146,9 +146,9 @@
         """
         own_id = self._board.identity.node_id
         others = [m for m in self._board.live_members() if m.node_id != own_id]
-        asked = self._rng.sample(others, min(PEERS_QUERIED, len(others)))
+        queried = self._rng.sample(others, min(PEERS_QUERIED, len(others)))
         fetched: dict[str, ListedHost] = {}
-        for member in asked:
+        for member in queried:
             for row in await self._fetch(member):
                 known = fetched.get(row.address)
                 if known is None or row.leaving:
@@ -158,7 +158,7 @@
             change = ListedChange(row.address, row.service, row.zone, row.leaving, True, 0)
             self.table.apply_change(change, now_s)
         if fetched:
-            self._write()
+            self._write_board()
             self._board.listed_at_s = now_s
 
     async def _fetch(self, member: Member) -> Sequence[ListedHost]:
@@ -178,7 +178,7 @@
             return
         for change in message.listed:
             self.table.apply_change(change, now_s)
-        self._write()
+        self._write_board()
 
     def _apply_read(self, fetched: Sequence[ListedHost], now_s: float) -> None:
         accepted = accept_rows(self.table.present_rows(), fetched, self._loss_since_s, now_s)
@@ -188,10 +188,10 @@
             )
         self._loss_since_s = accepted.loss_since_s
         self.table.update(accepted.rows, now_s)
-        self._write()
+        self._write_board()
         self._board.listed_at_s = now_s
 
-    def _write(self) -> None:
+    def _write_board(self) -> None:
         rows = self.table.present_rows()
         listed_targets = _targets(rows)
         self._board.listed_nodes = [row.address for row in rows if row.service == ENTRY_SERVICE]
--- a/samphirecleat/controllers/membership/_gossip.py
+++ b/samphirecleat/controllers/membership/_gossip.py
@@ -44,7 +44,7 @@
     first_sent_at_s: float
     sent_at_s: float
     silent_since_s: float
-    checks_report: bool
+    verifies_report: bool
 
 
 class Gossip:
@@ -219,7 +219,7 @@
                 del self._probes[probe.incarnation]
                 continue
             timeout_s = self._suspect_after_s * (
-                REPORTED_DEATH_TIMEOUT_FRACTION if probe.checks_report else 1.0
+                REPORTED_DEATH_TIMEOUT_FRACTION if probe.verifies_report else 1.0
             )
             if now_s - probe.first_sent_at_s >= timeout_s:
                 del self._probes[probe.incarnation]
@@ -230,12 +230,12 @@
             self._probes[probe.incarnation] = probe._replace(sent_at_s=now_s)
             ping = self._compose(MessageKind.PING, probe.nonce, now_s)
             yield Outgoing(probe.address, ping)
-            if probe.checks_report or indirect_probes_left < INDIRECT_PROBERS:
+            if probe.verifies_report or indirect_probes_left < INDIRECT_PROBERS:
                 continue
             indirect_probes_left -= INDIRECT_PROBERS
-            for helper in self._random_alive(INDIRECT_PROBERS, other_than=probe.incarnation):
+            for prober in self._random_alive(INDIRECT_PROBERS, other_than=probe.incarnation):
                 ask = self._compose(MessageKind.ASK, 0, now_s)._replace(target=probe.address)
-                yield Outgoing(helper.member.peer_address, ask)
+                yield Outgoing(prober.member.peer_address, ask)
 
     def _probe_next(self, count: int, now_s: float) -> Sequence[Outgoing]:
         outgoing: list[Outgoing] = []
@@ -272,7 +272,7 @@
             first_sent_at_s=now_s,
             sent_at_s=now_s,
             silent_since_s=now_s if silent_since_s is None else silent_since_s,
-            checks_report=silent_since_s is not None,
+            verifies_report=silent_since_s is not None,
         )
         return Outgoing(member.peer_address, self._compose(MessageKind.PING, nonce, now_s))
 
@@ -320,7 +320,7 @@
                 news._replace(
                     rows=[
                         news.rows[0],
-                        *(_row(k, now_s) for k in picked[at : at + ROWS_PER_SYNC_DATAGRAM]),
+                        *(_to_row(k, now_s) for k in picked[at : at + ROWS_PER_SYNC_DATAGRAM]),
                     ]
                 ),
             )
@@ -353,16 +353,16 @@
                 del self._updates[incarnation]
                 continue
             probe = self._probes.get(incarnation)
-            checks_report = probe is not None and probe.checks_report
-            if record.liveness is not Liveness.ALIVE or checks_report:
+            verifies_report = probe is not None and probe.verifies_report
+            if record.liveness is not Liveness.ALIVE or verifies_report:
                 if len(deaths) < DEATHS_PER_MESSAGE:
                     since_s = probe.silent_since_s if probe else record.silent_since_s
                     own_word = record.liveness is Liveness.GONE
-                    deaths.append(Death(incarnation, _ms(now_s - since_s), own_word))
+                    deaths.append(Death(incarnation, _to_ms(now_s - since_s), own_word))
                     self._count_transmission(incarnation)
             elif len(rows) <= UPDATE_ROWS_PER_MESSAGE:
                 if incarnation != self.own.incarnation:
-                    rows.append(_row(record, now_s))
+                    rows.append(_to_row(record, now_s))
                 self._count_transmission(incarnation)
         rows.extend(self._next_refresh_rows(now_s))
         return Message(kind, nonce, "", self.table.alive_count, rows, deaths)
@@ -389,7 +389,9 @@
         ]
         rows = (self.table.records.get(incarnation) for incarnation in taken)
         return [
-            _row(record, now_s) for record in rows if record and record.liveness is Liveness.ALIVE
+            _to_row(record, now_s)
+            for record in rows
+            if record and record.liveness is Liveness.ALIVE
         ]
 
     def _others(self) -> Sequence[MemberRecord]:
@@ -400,9 +402,9 @@
         return self._rng.sample(others, min(count, len(others)))
 
 
-def _row(record: MemberRecord, now_s: float) -> MemberRow:
-    return MemberRow(record.member, _ms(now_s - record.made_at_s))
+def _to_row(record: MemberRecord, now_s: float) -> MemberRow:
+    return MemberRow(record.member, _to_ms(now_s - record.made_at_s))
 
 
-def _ms(seconds: float) -> int:
+def _to_ms(seconds: float) -> int:
     return max(0, int(seconds * 1000.0))
