--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -29,7 +29,7 @@
 
 @dataclass
 class _Attempts:
-    """Attempts at one call: the targets tried, and whether one, the current included, may have run it."""
+    """Attempts at one call, by target; ``may_have_run`` includes the current attempt."""
 
     addresses: list[str] = field(default_factory=list)
     may_have_run: bool = False
