--- a/samphirecleat/controllers/membership/__init__.py
+++ b/samphirecleat/controllers/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which nodes live, which hosts are listed, and how this node leaves."""
+"""Cluster membership, the host list, and draining of this node."""
 
 from typing import TYPE_CHECKING
 
@@ -8,17 +8,18 @@
 
 if TYPE_CHECKING:
     from ._discovery import Discovery
-    from ._drain import Drain, longest_drain_s
+    from ._drain import Drain, max_drain_s
 
 __all__ = [
     "Discovery",
     "Drain",
     "MemberTable",
     "Membership",
-    "longest_drain_s",
+    "max_drain_s",
 ]
 
-# Heartbeats work without these, which need the settings and the host list.
+# Imported lazily: a process that only exchanges heartbeats needs neither the settings
+# nor the host list.
 __getattr__ = lazy_exports(
-    __name__, {"Discovery": "_discovery", "Drain": "_drain", "longest_drain_s": "_drain"}
+    __name__, {"Discovery": "_discovery", "Drain": "_drain", "max_drain_s": "_drain"}
 )
--- a/samphirecleat/crashes/_news.py
+++ b/samphirecleat/crashes/_news.py
@@ -45,7 +45,7 @@
         if self._ledger.recall_answer(digest, now_s):
             self.announce(digest)
 
-    def load(self, message: Message, now_s: float) -> Message:
+    def add_updates(self, message: Message, now_s: float) -> Message:
         """Return the message with the next reports added."""
         if not self._pending:
             return message
@@ -59,7 +59,7 @@
                 rows.append(row)
         return message._replace(crashes=rows)
 
-    def unload(self, message: Message, now_s: float) -> None:
+    def apply_updates(self, message: Message, now_s: float) -> None:
         """Record the reports of a message, and queue those that are new."""
         for row in message.crashes:
             ended_s = now_s - row.ended_age_ms / 1000.0
--- a/tests/crashes/test_guard.py
+++ b/tests/crashes/test_guard.py
@@ -186,12 +186,12 @@
         assert (
             fixture.ledger.verdict(CALL, asyncio.get_running_loop().time() + 1.1).value == "refused"
         )
-        while fixture.gossip.load(EMPTY, 0.0).crashes:
+        while fixture.gossip.add_updates(EMPTY, 0.0).crashes:
             pass
         fixture.guard.review(["a", "b"])
-        assert fixture.gossip.load(EMPTY, 0.0) is EMPTY
+        assert fixture.gossip.add_updates(EMPTY, 0.0) is EMPTY
         fixture.guard.review(["b", "newcomer"])
-        rows = fixture.gossip.load(EMPTY, 0.0).crashes
+        rows = fixture.gossip.add_updates(EMPTY, 0.0).crashes
         assert {row.target for row in rows} == {"a@5", "b@5", "c@5"}
 
     run_with_fixture(body)
--- a/tests/crashes/test_news.py
+++ b/tests/crashes/test_news.py
@@ -31,7 +31,7 @@
     observers, fourth = [Node(), Node(), Node()], Node()
     for number, node in enumerate(observers):
         node.observe_crash(CALL, f"t{number}", number * 1.0, number + 0.1)
-        fourth.gossip.unload(encode_and_decode(node.gossip.load(EMPTY, 3.0)), 3.0)
+        fourth.gossip.apply_updates(encode_and_decode(node.gossip.add_updates(EMPTY, 3.0)), 3.0)
     assert fourth.ledger.verdict(CALL, 9.0) is CrashVerdict.REFUSED
     evidence = fourth.ledger.suspects[CALL].ends["t0"]
     assert (evidence.node, round(evidence.ended_s, 2)) == ("n", 0.1)
@@ -44,16 +44,16 @@
     assert one.ledger.note_answer(CALL, 1.0)
     one.gossip.announce(CALL)
     for _ in range(2):
-        other.gossip.unload(encode_and_decode(one.gossip.load(EMPTY, 2.0)), 2.0)
+        other.gossip.apply_updates(encode_and_decode(one.gossip.add_updates(EMPTY, 2.0)), 2.0)
     assert other.ledger.verdict(CALL, 2.0) is CrashVerdict.CLEAR
 
 
 def test_report_is_sent_a_bounded_number_of_times() -> None:
     node = Node()
     node.observe_crash(CALL, "t", 0.0, 0.1)
-    sent_rows = sum(len(node.gossip.load(EMPTY, 1.0).crashes) for _ in range(100))
+    sent_rows = sum(len(node.gossip.add_updates(EMPTY, 1.0).crashes) for _ in range(100))
     assert 4 <= sent_rows <= 8
-    assert node.gossip.load(EMPTY, 1.0) is EMPTY
+    assert node.gossip.add_updates(EMPTY, 1.0) is EMPTY
 
 
 def test_datagrams_stay_small_and_report_the_worst_suspect_first() -> None:
@@ -63,7 +63,7 @@
         node.observe_crash(b"%12d" % number, f"t{number % 8}", 0.0, 0.1)
     for target in ("a", "b"):
         node.observe_crash(CALL, target, 0.2, 0.3)
-    message = node.gossip.load(EMPTY, 1.0)
+    message = node.gossip.add_updates(EMPTY, 1.0)
     assert len(message.crashes) == ROWS_PER_MESSAGE
     assert [row.mark for row in message.crashes[:2]] == [CALL, CALL]
     assert len(HeartbeatCodec("key").pack(message)) < 600
