--- a/samphirecleat/bench/_duties.py
+++ b/samphirecleat/bench/_duties.py
@@ -11,7 +11,7 @@
 from itertools import pairwise
 from typing import Final, NamedTuple
 
-from ..durable._duty import CONFIRMED_WITHIN_S, heir_wait_s
+from ..durable._duty import MAX_CONFIRMATION_AGE_S, takeover_wait_s
 from ..durable._election import Candidate, ElectionView, should_claim
 from ..durable._fold import StepFold
 from ..durable._records import RunnerClaimed
@@ -68,8 +68,10 @@
 
 
 VARIANTS: Final = (
-    Rules("no fences, heir waits", heir_wait_s(LEASE_S, fenced=False)),
-    Rules("fences, heir waits for calls under way", heir_wait_s(LEASE_S, fenced=True), fenced=True),
+    Rules("no fences, heir waits", takeover_wait_s(LEASE_S, fenced=False)),
+    Rules(
+        "fences, heir waits for calls under way", takeover_wait_s(LEASE_S, fenced=True), fenced=True
+    ),
     Rules("no fences, heir does not wait", 0.0),
     Rules("fences, heir does not wait", 0.0, fenced=True),
     Rules("fences, claim not confirmed", 0.0, confirms=False, fenced=True),
@@ -152,7 +154,7 @@
         taken_at_s = node.taken.setdefault(offset, now_s)
         follows_other = before not in ("", node.name)
         wait_s = self._rules.wait_s if follows_other else 0.0
-        confirmed = now_s - node.confirmed_at_s <= CONFIRMED_WITHIN_S
+        confirmed = now_s - node.confirmed_at_s <= MAX_CONFIRMATION_AGE_S
         if now_s - taken_at_s < wait_s or (self._rules.confirms and not confirmed):
             return
         if now_s < self._next_act_s.get(node.name, 0.0):
--- a/samphirecleat/bench/_planning.py
+++ b/samphirecleat/bench/_planning.py
@@ -91,7 +91,7 @@
     views = {engine.instance: engine for engine in engines if engine.accepts}
     placements = []
     for item in pending:
-        free = [view for view in views.values() if view.running < view.places]
+        free = [view for view in views.values() if view.running < view.slots]
         if not free:
             break
         best = min(free, key=lambda view: view.running)
--- a/samphirecleat/durable/__init__.py
+++ b/samphirecleat/durable/__init__.py
@@ -2,13 +2,13 @@
 
 from ._access import ListedResult, StepAccess, StepPage
 from ._crash_records import CrashRecords
-from ._duty import Duty, DutyKeeper, DutyMaker, Holder
+from ._duty import Duty, DutyFactory, DutyKeeper, Holder
 from ._duty_tasks import DutyTasks
 from ._fold import Claim, StepFold, StepState
 from ._follower import TopicFollower
 from ._journal import ProgressJournal
 from ._listing import Written
-from ._meeting_point import MeetingPoint
+from ._member_registry import MemberRegistry
 from ._orderer import EngineReport, Order, OrderChannel, OrderOutcome
 from ._planner import (
     EngineView,
@@ -38,7 +38,6 @@
     Piece,
     PlainLog,
 )
-from ._post import NO_SUPPLY, DutyParts, ServerSupply, ServiceDuties
 from ._reading_pace import keeps_items_apart, reading_pause_s
 from ._records import (
     FinishedItem,
@@ -54,14 +53,15 @@
 )
 from ._scorer import Scorer
 from ._server_orders import ScaleChannel, ScaleOutcome
-from ._server_plan import ZoneSupply, plan_spot, servers_for
+from ._server_plan import ZoneCapacity, plan_spot_targets, targets_for_wave
+from ._service_duty import NO_PROVISIONING, DutyDependencies, ServiceDuties, TargetProvisioning
 from ._step_log import StepLog
 from ._texts import TextShelf
 from ._weight_demand import engines_for, model_demand
 from ._weight_orders import Load, ModelDemand, OrderableEngine, decide_loads
 
 __all__ = [
-    "NO_SUPPLY",
+    "NO_PROVISIONING",
     "READ_BYTES",
     "UNCONDITIONAL",
     "AppendOutcome",
@@ -69,9 +69,9 @@
     "Claim",
     "CrashRecords",
     "Duty",
+    "DutyDependencies",
+    "DutyFactory",
     "DutyKeeper",
-    "DutyMaker",
-    "DutyParts",
     "DutyTasks",
     "EngineReport",
     "EngineView",
@@ -90,7 +90,7 @@
     "LogEntry",
     "LogSlice",
     "LogUnavailableError",
-    "MeetingPoint",
+    "MemberRegistry",
     "ModelDemand",
     "Order",
     "OrderChannel",
@@ -108,31 +108,31 @@
     "ScaleChannel",
     "ScaleOutcome",
     "Scorer",
-    "ServerSupply",
     "ServiceDuties",
     "Shortage",
     "StepAccepted",
     "StepAccess",
     "StepEnded",
-    "StepRequest",
     "StepFold",
     "StepLog",
     "StepPage",
+    "StepRequest",
     "StepState",
+    "TargetProvisioning",
     "TextRef",
     "TextShelf",
     "TopicFollower",
     "Written",
-    "ZoneSupply",
+    "ZoneCapacity",
     "decide_loads",
     "engines_for",
     "keeps_items_apart",
     "model_demand",
     "order_items",
     "place_items",
-    "plan_spot",
+    "plan_spot_targets",
     "planned_tokens",
     "reading_pause_s",
-    "servers_for",
     "shortages",
+    "targets_for_wave",
 ]
--- a/samphirecleat/durable/_duty.py
+++ b/samphirecleat/durable/_duty.py
@@ -25,7 +25,7 @@
 # A leaving holder waits this long for the log to take its hand-over.
 HAND_OVER_S: Final = 1.0
 # A holder acts only within this long of the log's last word that its claim stands.
-CONFIRMED_WITHIN_S: Final = 0.8
+MAX_CONFIRMATION_AGE_S: Final = 0.8
 # Where fences are not checked, added to the lease before an heir's first act: the confirmation
 # above, and slack.
 TAKEOVER_SLACK_S: Final = 1.0
@@ -34,7 +34,7 @@
 FENCED_WAIT_S: Final = 2.0
 
 
-def heir_wait_s(lease_s: float, *, fenced: bool) -> float:
+def takeover_wait_s(lease_s: float, *, fenced: bool) -> float:
     """Return how long an heir lets pass before its first act."""
     longest_s = lease_s + TAKEOVER_SLACK_S
     return min(FENCED_WAIT_S, longest_s) if fenced else longest_s
@@ -54,10 +54,10 @@
     taken_at_s: float = 0.0
     """When the claim was taken, on the boot clock."""
 
-    def acts_now(self) -> bool:
+    def may_act_now(self) -> bool:
         """Whether no earlier holder can still act, and the claim is known to stand."""
         waited_s = boot_time_s() - self.taken_at_s
-        return waited_s >= self.wait_s and self.may_act(CONFIRMED_WITHIN_S)
+        return waited_s >= self.wait_s and self.may_act(MAX_CONFIRMATION_AGE_S)
 
 
 class Duty(Protocol):
@@ -81,7 +81,7 @@
         ...
 
 
-DutyMaker = Callable[[str, Holder], Awaitable[Duty]]
+DutyFactory = Callable[[str, Holder], Awaitable[Duty]]
 """Makes the work of a subject for its holder."""
 
 
@@ -99,7 +99,7 @@
         self,
         board: Blackboard,
         step_log: StepLog,
-        subjects: Callable[[], Mapping[str, DutyMaker]],
+        subjects: Callable[[], Mapping[str, DutyFactory]],
         observer: Observer,
         rng: random.Random,
         *,
@@ -116,7 +116,7 @@
         self._subjects = subjects
         self._rng = rng
         self._words = observer.log("duty")
-        self._heir_wait_s = heir_wait_s(lease_s, fenced=fenced)
+        self._heir_wait_s = takeover_wait_s(lease_s, fenced=fenced)
         self._posts: dict[str, _Post] = {}
         self._claimed_at_s: dict[str, float] = {}
         self._began_s = 0.0
@@ -139,7 +139,7 @@
         for subject in list(self._posts):
             await self._hand_over(subject)
 
-    def posts(self) -> Mapping[str, int]:
+    def held_duties(self) -> Mapping[str, int]:
         """Return the subjects that this node holds, with their fencing numbers."""
         return {subject: post.offset for subject, post in self._posts.items()}
 
@@ -227,7 +227,7 @@
             written.outcome.value,
         )
 
-    async def _take_post(self, subject: str, claim: Claim, maker: DutyMaker) -> None:
+    async def _take_post(self, subject: str, claim: Claim, maker: DutyFactory) -> None:
         # One host is one holder, whichever of its processes acts.
         follows_other = claim.previous_node_id not in ("", claim.node_id)
         holder = Holder(
--- a/samphirecleat/durable/_item_decisions.py
+++ b/samphirecleat/durable/_item_decisions.py
@@ -90,7 +90,7 @@
     min_version: int = 0
 
     @property
-    def spare_s(self) -> float:
+    def slack_s(self) -> float:
         """What is left when the text is whole, scored and listed, if the run stays."""
         return self.due_in_s - self.rest_s * self.slowness - FINISH_S
 
@@ -101,9 +101,9 @@
     A run leaves an engine that turned slow or leaves before its text is whole, and an engine that
     is only a little slower if its text would be late there. Each takes one free place.
     """
-    free = [engine for engine in engines if engine.accepts and engine.running < engine.places]
+    free = [engine for engine in engines if engine.accepts and engine.running < engine.slots]
     moved: list[ItemName] = []
-    for run in sorted(runs, key=lambda run: run.spare_s):
+    for run in sorted(runs, key=lambda run: run.slack_s):
         if run.moving or run.events < MOVE_AFTER_EVENTS:
             continue
         better = [engine for engine in free if _goes_on_better(run, engine)]
@@ -111,7 +111,7 @@
             continue
         taken = min(better, key=lambda engine: engine.slowness)
         free.remove(taken)
-        if taken.running + 1 < taken.places:
+        if taken.running + 1 < taken.slots:
             free.append(taken._replace(running=taken.running + 1))
         moved.append(run.name)
     return moved
@@ -126,7 +126,7 @@
         return True
     faster_by = run.slowness - engine.slowness
     return (
-        run.spare_s < 0.0
+        run.slack_s < 0.0
         and faster_by >= FASTER_BY_SLOWNESS
         and faster_by * run.rest_s >= FASTER_BY_S
     )
--- a/samphirecleat/durable/_meeting_point.py
+++ b/samphirecleat/durable/_member_registry.py
@@ -20,7 +20,7 @@
 RETRY_S: Final = (0.5, 1.5)
 
 
-class MeetingPoint:
+class MemberRegistry:
     """Writes where this node can be found, and keeps the addresses of the others."""
 
     def __init__(
--- a/samphirecleat/durable/_orderer.py
+++ b/samphirecleat/durable/_orderer.py
@@ -94,11 +94,11 @@
         """Whether an engine is too slow to count on it for the next step."""
         ...
 
-    def load_began(self, instance: str, model: str) -> None:
+    def begin_load(self, instance: str, model: str) -> None:
         """Place no item of a model at an engine until its load is over."""
         ...
 
-    def load_over(self, instance: str, model: str) -> None:
+    def end_load(self, instance: str, model: str) -> None:
         """Place items of a model at an engine again."""
         ...
 
@@ -149,7 +149,7 @@
         """Order for as long as the claim stands."""
         try:
             while not self._fenced:
-                if self._holder.acts_now():
+                if self._holder.may_act_now():
                     self._step()
                 await asyncio.sleep(LOOK_EVERY_S)
             self._words.warning("service=%s fenced; a newer holder orders", self._service)
@@ -165,7 +165,7 @@
         serving = {target.instance: target for target in self._targets.serving(self._service)}
         for name in [name for name in self._known if name[0] not in serving]:
             del self._known[name]
-            self._work.load_over(*name)
+            self._work.end_load(*name)
         models = [model for model in spec.engine.models if self._named(model) > 1]
         for target in serving.values():
             for model in models:
@@ -179,7 +179,7 @@
             demand = by_model[load.model]
             known.loading_version = demand.named_version
             known.look_at_s = now_s + ORDER_TIMEOUT_S + FIRST_LOOK_S
-            self._work.load_began(*known.name)
+            self._work.begin_load(*known.name)
             self._spawn(self._give(serving[load.instance], demand, known))
 
     def _view(
@@ -208,7 +208,7 @@
             known = self._known[name] = _Known(target.started_at_ms, name)
             # An engine that starts again counts its orders anew.
             self._orders_accepted.pop(target.instance, None)
-            self._work.load_over(*name)
+            self._work.end_load(*name)
         known.version = max(known.version, self._work.version_of(target, model))
         if known.loading_version and known.version >= known.loading_version:
             self._load_over(known)
@@ -227,7 +227,7 @@
 
     def _load_over(self, known: _Known) -> None:
         known.loading_version = 0
-        self._work.load_over(*known.name)
+        self._work.end_load(*known.name)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.ensure_future(work)
@@ -260,7 +260,7 @@
             if known.version >= version:
                 self._load_over(known)
                 return
-        if not self._holder.acts_now():
+        if not self._holder.may_act_now():
             self._failed(known, 0.0)
             return
         expected = self._orders_accepted.get(target.instance, 0)
--- a/samphirecleat/durable/_planner.py
+++ b/samphirecleat/durable/_planner.py
@@ -62,7 +62,7 @@
 
     instance: str
     versions: Mapping[str, int]
-    places: int
+    slots: int
     memory_tokens: int
     running: int
     planned_tokens: int
@@ -99,8 +99,8 @@
     spare = _spare_groups(longest, carried, wanted_share)
 
     def rank(item: PendingItem) -> tuple[bool, float]:
-        spare_s = item.due_in_s - item.expected_tokens * token_s
-        ranked_s = spare_s + (item.priority - MIDDLE_PRIORITY) * PRIORITY_S
+        slack_s = item.due_in_s - item.expected_tokens * token_s
+        ranked_s = slack_s + (item.priority - MIDDLE_PRIORITY) * PRIORITY_S
         return ((item.step_id, item.group) in spare, ranked_s)
 
     return sorted(items, key=rank)
@@ -129,13 +129,13 @@
     long_tokens = int(LONG_S / token_s)
     placements: list[Placement] = []
     views = {engine.instance: engine for engine in engines if engine.accepts}
-    if not any(engine.running < engine.places for engine in views.values()):
+    if not any(engine.running < engine.slots for engine in views.values()):
         return []
     for item in ordered:
         is_long = item.expected_tokens > long_tokens
         best = _best_engine(item, list(views.values()), is_long=is_long)
         if best is None:
-            if not any(engine.running < engine.places for engine in views.values()):
+            if not any(engine.running < engine.slots for engine in views.values()):
                 break
             continue
         tokens = planned_tokens(item, is_long=is_long)
@@ -171,7 +171,7 @@
 
 def _fits(item: PendingItem, engine: EngineView, *, is_long: bool) -> bool:
     version = engine.versions.get(item.model, -1)
-    if version < item.min_version or engine.running >= engine.places:
+    if version < item.min_version or engine.running >= engine.slots:
         return False
     room = engine.memory_tokens - engine.planned_tokens
     return planned_tokens(item, is_long=is_long) <= room or engine.running == 0
@@ -186,12 +186,12 @@
 class Shortage(NamedTuple):
     """That items of a model found no place; ``spare_s`` is what the most urgent has left."""
 
-    spare_s: float
+    slack_s: float
 
     @property
-    def pressed(self) -> bool:
+    def urgent(self) -> bool:
         """Whether the item will be late unless it starts soon."""
-        return self.spare_s < PRESSED_SPARE_S
+        return self.slack_s < PRESSED_SPARE_S
 
 
 def shortages(
@@ -203,7 +203,7 @@
     for item in ordered:
         if (item.step_id, item.item_id) in placed:
             continue
-        spare_s = item.due_in_s - item.expected_tokens * token_s
-        if item.model not in short or spare_s < short[item.model].spare_s:
-            short[item.model] = Shortage(spare_s)
+        slack_s = item.due_in_s - item.expected_tokens * token_s
+        if item.model not in short or slack_s < short[item.model].slack_s:
+            short[item.model] = Shortage(slack_s)
     return short
--- a/samphirecleat/durable/_server_orders.py
+++ b/samphirecleat/durable/_server_orders.py
@@ -14,7 +14,7 @@
 from ..observe import Observer
 from ..serving import RouteTable, ScalingSpec, TargetTable
 from ._duty import Holder
-from ._server_plan import ZoneSupply, plan_spot, servers_for
+from ._server_plan import ZoneCapacity, plan_spot_targets, targets_for_wave
 from ._service_work import ServiceWork
 
 LOOK_EVERY_S: Final = 0.2
@@ -94,7 +94,7 @@
             spec = self._routes.config.services.get(self._work.service)
             if spec is None or spec.scaling is None:
                 continue
-            if self._sees_targets() and self._holder.acts_now():
+            if self._sees_targets() and self._holder.may_act_now():
                 await self._step(spec.scaling, now_s)
 
     def _note_wave(self, now_s: float) -> None:
@@ -108,9 +108,9 @@
     async def _step(self, scaling: ScalingSpec, now_s: float) -> None:
         places = self._work.view.most_places
         largest_wave = self._waves[0][1]
-        wanted = servers_for(largest_wave, places)
+        wanted = targets_for_wave(largest_wave, places)
         zones = self._zones(scaling, now_s)
-        plan = plan_spot(zones, wanted, scaling)
+        plan = plan_spot_targets(zones, wanted, scaling)
         self._tell(zones, wanted)
         seen = {zone.zone: zone.spot for zone in zones}
         # More comes before fewer: what a dry zone lacks is not given up elsewhere before the zone
@@ -137,14 +137,14 @@
             )
             lacking |= await self._order(zone, count) is not ScaleOutcome.TAKEN
 
-    def _zones(self, scaling: ScalingSpec, now_s: float) -> list[ZoneSupply]:
+    def _zones(self, scaling: ScalingSpec, now_s: float) -> list[ZoneCapacity]:
         """Return what each zone has; a zone without any target of the service is none of its."""
         ordinary: Counter[str] = Counter()
         spot: Counter[str] = Counter()
         for target in self._targets.serving(self._work.service):
             (spot if target.spot else ordinary)[target.zone] += 1
         return [
-            ZoneSupply(
+            ZoneCapacity(
                 zone,
                 ordinary[zone],
                 spot[zone],
@@ -191,7 +191,7 @@
                 self._ordered[zone] = last._replace(rests_until_s=now_s + UNKNOWN_REST_S)
         return outcome
 
-    def _tell(self, zones: list[ZoneSupply], wanted: int) -> None:
+    def _tell(self, zones: list[ZoneCapacity], wanted: int) -> None:
         """Have the metrics say what is wanted and seen."""
         counters = self._observer.counters
         counters[f"servers_wanted_{self._work.service}"] = wanted
--- a/samphirecleat/durable/_server_plan.py
+++ b/samphirecleat/durable/_server_plan.py
@@ -22,7 +22,7 @@
 COST_SHARE: Final = 0.25
 
 
-class ZoneSupply(NamedTuple):
+class ZoneCapacity(NamedTuple):
     """The targets of a service that an availability zone has now.
 
     A ``dry`` zone has just had none to give.
@@ -34,13 +34,13 @@
     dry: bool = False
 
 
-def servers_for(items: int, places: int) -> int:
+def targets_for_wave(items: int, places: int) -> int:
     """Return how many targets of so many places a wave of so many items wants."""
     return -(-int(items * PLACES_PER_ITEM) // max(1, places))
 
 
-def plan_spot(
-    zones: Sequence[ZoneSupply], wanted_servers: int, scaling: ScalingSpec
+def plan_spot_targets(
+    zones: Sequence[ZoneCapacity], wanted_servers: int, scaling: ScalingSpec
 ) -> Mapping[str, int]:
     """Return how many spot targets each zone should have, for zones with a price.
 
--- a/samphirecleat/durable/_post.py
+++ b/samphirecleat/durable/_service_duty.py
@@ -7,7 +7,7 @@
 from ..observe import Observer
 from ..serving import RouteTable, TargetTable
 from ._drafts import DraftShelf
-from ._duty import Duty, DutyMaker, Holder
+from ._duty import Duty, DutyFactory, Holder
 from ._duty_tasks import DutyTasks
 from ._finisher import Finisher
 from ._journal import ProgressJournal
@@ -22,18 +22,18 @@
 from ._step_log import StepLog
 
 
-class ServerSupply(NamedTuple):
+class TargetProvisioning(NamedTuple):
     """Where a service's targets are ordered; ``sees_targets`` says if they are all known now."""
 
     channel: ScaleChannel
     sees_targets: Callable[[], bool]
 
 
-NO_SUPPLY: Final[Literal["no supply"]] = "no supply"
+NO_PROVISIONING: Final[Literal["no supply"]] = "no supply"
 """Stands for a platform that takes no orders of targets."""
 
 
-class DutyParts(NamedTuple):
+class DutyDependencies(NamedTuple):
     """What the work of any service needs of its node; ``named`` gives a model's newest version."""
 
     step_log: StepLog
@@ -45,19 +45,19 @@
     journal: ProgressJournal
     observer: Observer
     named: Callable[[str], int]
-    servers: ServerSupply | Literal["no supply"] = NO_SUPPLY
+    servers: TargetProvisioning | Literal["no supply"] = NO_PROVISIONING
     guard: CrashGuard | None = None
 
 
 class ServiceDuties:
     """The services of engines that the configuration names, each a duty."""
 
-    def __init__(self, parts: DutyParts) -> None:
+    def __init__(self, parts: DutyDependencies) -> None:
         """Make posts of ``parts``; what was saved of texts is shared between them."""
         self._parts = parts
         self._drafts = DraftShelf()
 
-    def subjects(self) -> Mapping[str, DutyMaker]:
+    def subjects(self) -> Mapping[str, DutyFactory]:
         """Return the services to run."""
         services = self._parts.routes.config.services
         return {n: self._make for n, spec in services.items() if spec.engine is not None}
@@ -70,7 +70,9 @@
 class ServicePost:
     """A service that this node runs."""
 
-    def __init__(self, service: str, holder: Holder, parts: DutyParts, drafts: DraftShelf) -> None:
+    def __init__(
+        self, service: str, holder: Holder, parts: DutyDependencies, drafts: DraftShelf
+    ) -> None:
         """Wire the parts; nothing runs before :meth:`start`."""
         self._parts = parts
         work = ServiceWork(service, parts.step_log, parts.routes, parts.targets)
@@ -97,7 +99,7 @@
                 parts.observer,
                 parts.servers.sees_targets,
             )
-            if isinstance(parts.servers, ServerSupply)
+            if isinstance(parts.servers, TargetProvisioning)
             else None
         )
         self._tasks = DutyTasks()
--- a/samphirecleat/durable/_service_work.py
+++ b/samphirecleat/durable/_service_work.py
@@ -139,10 +139,10 @@
         """Whether an engine is too slow to count on it for the next step."""
         return self.paces.slowness(instance) >= MOVE_TO_SLOWNESS
 
-    def load_began(self, instance: str, model: str) -> None:
+    def begin_load(self, instance: str, model: str) -> None:
         """Place no item of a model at an engine until its load is over."""
         self._loading.add((instance, model))
 
-    def load_over(self, instance: str, model: str) -> None:
+    def end_load(self, instance: str, model: str) -> None:
         """Place items of a model at an engine again."""
         self._loading.discard((instance, model))
--- a/samphirecleat/durable/_weight_demand.py
+++ b/samphirecleat/durable/_weight_demand.py
@@ -58,6 +58,6 @@
         wanted_engines,
         keeps_runs,
         shortage is not None,
-        shortage is not None and shortage.pressed,
-        shortage.spare_s if shortage is not None else math.inf,
+        shortage is not None and shortage.urgent,
+        shortage.slack_s if shortage is not None else math.inf,
     )
--- a/samphirecleat/platform/_node_duties.py
+++ b/samphirecleat/platform/_node_duties.py
@@ -6,12 +6,12 @@
 
 from ..blackboard import Blackboard
 from ..durable import (
+    DutyDependencies,
+    DutyFactory,
     DutyKeeper,
-    DutyMaker,
-    DutyParts,
     KeyedLog,
-    ServerSupply,
     ServiceDuties,
+    TargetProvisioning,
 )
 from ..usage import ReportTerms, TrueClock, UsageDuty, UsageParts
 from ._boot_settings import BootSettings
@@ -38,7 +38,7 @@
         self,
         board: Blackboard,
         settings: BootSettings,
-        parts: DutyParts,
+        parts: DutyDependencies,
         api: DutyApi,
         view: PlatformView,
         rng: random.Random,
@@ -46,7 +46,7 @@
         """Wire the duties; nothing is claimed before :meth:`run`."""
         self._reports_usage = settings.reports_usage
         if settings.orders_targets:
-            parts = parts._replace(servers=ServerSupply(api, view.sees_targets))
+            parts = parts._replace(servers=TargetProvisioning(api, view.sees_targets))
         self._services = ServiceDuties(parts)
         self._usage = UsageDuty(
             UsageParts(
@@ -79,13 +79,13 @@
 
     def posts(self) -> Mapping[str, int]:
         """Return the subjects that this node holds, with their fencing numbers."""
-        return self._keeper.posts()
+        return self._keeper.held_duties()
 
     def runs_services(self) -> bool:
         """Whether this node runs the steps of any service."""
-        return not self._services.subjects().keys().isdisjoint(self._keeper.posts())
+        return not self._services.subjects().keys().isdisjoint(self._keeper.held_duties())
 
-    def _subjects(self) -> Mapping[str, DutyMaker]:
+    def _subjects(self) -> Mapping[str, DutyFactory]:
         """Return the duties that some node must have."""
         if not self._reports_usage:
             return self._services.subjects()
--- a/samphirecleat/platform/_platform_node.py
+++ b/samphirecleat/platform/_platform_node.py
@@ -14,8 +14,8 @@
 from ..blackboard import Blackboard, Identity, Member
 from ..controllers.membership import Membership
 from ..durable import (
-    DutyParts,
-    MeetingPoint,
+    DutyDependencies,
+    MemberRegistry,
     ProgressJournal,
     Scorer,
     StepAccess,
@@ -133,7 +133,7 @@
         for work in (
             self._membership.drive(),
             self._operator_follower.run(),
-            self._meeting_point.run(),
+            self._member_registry.run(),
             self._target_follower.run(),
             self._crashes.records.run(),
             self.step_log.run(),
@@ -213,7 +213,7 @@
             self._store, TOPIC_OPERATOR, self.operator.take, self.observer, self._rng
         )
         registry = TargetRegistry(lambda: self._target_follower.unavailable_at_s)
-        self._meeting_point = MeetingPoint(self._store, self.board, self.observer, self._rng)
+        self._member_registry = MemberRegistry(self._store, self.board, self.observer, self._rng)
         self.target_watch = TargetWatch(registry, self.targets, self.observer)
         self._target_follower = TopicFollower(
             self._store, TOPIC_TARGETS, self.target_watch.take, self.observer, self._rng
@@ -261,7 +261,7 @@
             self._gatekeeper,
             self.observer,
         )
-        parts = DutyParts(
+        parts = DutyDependencies(
             self.step_log,
             self.routes,
             self.targets,
--- a/samphirecleat/usage/_reporter.py
+++ b/samphirecleat/usage/_reporter.py
@@ -20,7 +20,7 @@
 from ..durable import (
     AppendOutcome,
     Duty,
-    DutyMaker,
+    DutyFactory,
     DutyTasks,
     Holder,
     KeyedLog,
@@ -103,7 +103,7 @@
         """Report by way of ``parts``."""
         self._parts = parts
 
-    def subjects(self) -> Mapping[str, DutyMaker]:
+    def subjects(self) -> Mapping[str, DutyFactory]:
         """Return the one subject."""
         return {REPORT_SUBJECT: self._make}
 
@@ -160,7 +160,7 @@
             for window in self._due_windows():
                 if self._ledger.report(window) is None:
                     await self._fix(window)
-                elif self._holder.acts_now():
+                elif self._holder.may_act_now():
                     await self._send(window)
             await self._drop_old()
         self._words.warning("fenced: a newer holder reports")
@@ -177,7 +177,7 @@
 
     async def _fix(self, window: int) -> None:
         """Write the figures of a window, which the ledger then takes from the log."""
-        if not await self._follower.confirm(CONFIRM_WITHIN_S) or not self._holder.acts_now():
+        if not await self._follower.confirm(CONFIRM_WITHIN_S) or not self._holder.may_act_now():
             return
         record = ReportFixed(window, self._ledger.counts(window))
         unique = f"{self._holder.fencing_number}.{secrets.token_hex(4)}"
@@ -235,7 +235,7 @@
         """Drop windows that no heir can need any more."""
         kept_s = KEPT_FOR * self._terms.due_after_s
         before = int((self._clock.now_s() - kept_s) // self._terms.window_s)
-        if before < self._dropped_before + DROP_EVERY_WINDOWS or not self._holder.acts_now():
+        if before < self._dropped_before + DROP_EVERY_WINDOWS or not self._holder.may_act_now():
             return
         self._dropped_before = before
         self._sent = {window for window in self._sent if window >= before}
--- a/tests/durable/test_duty.py
+++ b/tests/durable/test_duty.py
@@ -11,8 +11,8 @@
 from samphirecleat.durable import (
     Claim,
     Duty,
+    DutyDependencies,
     DutyKeeper,
-    DutyParts,
     GenerationChannel,
     Holder,
     OrderChannel,
@@ -22,7 +22,7 @@
     ServiceDuties,
     StepLog,
 )
-from samphirecleat.durable._duty import heir_wait_s
+from samphirecleat.durable._duty import takeover_wait_s
 from samphirecleat.observe import Observer
 from samphirecleat.serving import (
     CallerLimits,
@@ -46,7 +46,7 @@
     spec = ServiceSpec("svc", "", 10, EngineSpec(12, 40_000, ["m"]))
     routes.put(RoutingConfig(1, (), {"svc": spec}, CallerLimits()))
     observer = Observer("n1")
-    parts = DutyParts(
+    parts = DutyDependencies(
         step_log,
         routes,
         TargetTable("z"),
@@ -91,8 +91,8 @@
 @pytest.mark.parametrize(("fenced", "want_s"), [(False, 4.0), (True, 2.0)])
 def test_an_heir_waits_for_what_its_forerunner_may_still_do(fenced: bool, want_s: float) -> None:
     """Guards against two holders that act in turns, and a duty that stands still for nothing."""
-    assert heir_wait_s(3.0, fenced=fenced) == want_s
-    assert heir_wait_s(0.3, fenced=fenced) <= 1.3
+    assert takeover_wait_s(3.0, fenced=fenced) == want_s
+    assert takeover_wait_s(0.3, fenced=fenced) <= 1.3
 
 
 class CutOffDuty:
@@ -139,7 +139,7 @@
         working = asyncio.ensure_future(keeper.run())
         await until(lambda: len(log.topic("keyed.steps").entries) == 2)
         await until(lambda: step_log.fold.claims["duty:x"].node_id == "n2")
-        await until(lambda: not keeper.posts())
+        await until(lambda: not keeper.held_duties())
         for task in (working, following):
             task.cancel()
         await asyncio.gather(working, following, return_exceptions=True)
--- a/tests/durable/test_orderer.py
+++ b/tests/durable/test_orderer.py
@@ -71,10 +71,10 @@
     def is_slow(self, instance: str) -> bool:
         return not instance
 
-    def load_began(self, instance: str, model: str) -> None:
+    def begin_load(self, instance: str, model: str) -> None:
         self.loading.add((instance, model))
 
-    def load_over(self, instance: str, model: str) -> None:
+    def end_load(self, instance: str, model: str) -> None:
         self.loading.discard((instance, model))
 
 
--- a/tests/durable/test_planner.py
+++ b/tests/durable/test_planner.py
@@ -113,7 +113,7 @@
 ) -> None:
     placements = place_items([left], [engine("a")] if placed else [], TOKEN_S)
     short = shortages([left], placements, TOKEN_S).get(left.model)
-    assert (short is not None and short.pressed) is want
+    assert (short is not None and short.urgent) is want
 
 
 def test_a_run_goes_where_a_connection_waits() -> None:
--- a/tests/durable/test_runner.py
+++ b/tests/durable/test_runner.py
@@ -51,11 +51,11 @@
     """
 
     async def body(stage: RunnerStage) -> None:
-        stage.work.load_began("e1", "m")
+        stage.work.begin_load("e1", "m")
         await stage.accept(step(items=2))
         await stage.listed(2)
         assert {engine for engine, _call in stage.engines.calls} == {"e2"}
-        stage.work.load_over("e1", "m")
+        stage.work.end_load("e1", "m")
         await stage.accept(step("s2", items=8))
         await stage.listed(8, "s2")
 
--- a/tests/durable/test_server_plan.py
+++ b/tests/durable/test_server_plan.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from samphirecleat.durable import ZoneSupply, plan_spot, servers_for
+from samphirecleat.durable import ZoneCapacity, plan_spot_targets, targets_for_wave
 from samphirecleat.serving import ScalingSpec
 
 PRICES = {"a": 1.0, "b": 0.8, "c": 1.25}
@@ -16,8 +16,8 @@
     return ScalingSpec(1, maximum, 4.0, prices, spot_price)
 
 
-def zones(*rows: tuple[str, int, int] | tuple[str, int, int, bool]) -> list[ZoneSupply]:
-    return [ZoneSupply(*row) for row in rows]
+def zones(*rows: tuple[str, int, int] | tuple[str, int, int, bool]) -> list[ZoneCapacity]:
+    return [ZoneCapacity(*row) for row in rows]
 
 
 FULL = zones(("a", 8, 0), ("b", 7, 0), ("c", 7, 0))
@@ -52,17 +52,17 @@
     ],
 )  # fmt: skip
 def test_what_is_ordered(
-    supply: Sequence[ZoneSupply], wanted: int, terms: ScalingSpec, want: Mapping[str, int]
+    supply: Sequence[ZoneCapacity], wanted: int, terms: ScalingSpec, want: Mapping[str, int]
 ) -> None:
-    assert plan_spot(supply, wanted, terms) == want
+    assert plan_spot_targets(supply, wanted, terms) == want
 
 
 def test_the_reclaim_of_one_zone_takes_a_third_of_the_spot_targets() -> None:
     """Guards against spot targets that all stand in the cheapest zone and go at once."""
-    plan = plan_spot(FULL, 40, scaling())
+    plan = plan_spot_targets(FULL, 40, scaling())
     assert max(plan.values()) - min(plan.values()) <= 1
 
 
 def test_a_wave_that_moves_is_covered_with_room_for_loads() -> None:
-    assert servers_for(208, 8) * 8 >= 1.2 * 208
-    assert servers_for(0, 8) == 0
+    assert targets_for_wave(208, 8) * 8 >= 1.2 * 208
+    assert targets_for_wave(0, 8) == 0
