--- a/samphirecleat/durable/_drafts.py
+++ b/samphirecleat/durable/_drafts.py
@@ -1,7 +1,7 @@
-"""Texts that are not whole yet, and whole ones that wait for their score.
+"""Drafts: partial texts of items, and complete ones that are not scored yet.
 
-A text outlives its run and its step: a broken run goes on at another engine from the last
-whole event, and an item that comes again in a later step starts from what was made.
+A draft outlives its run and its step. An interrupted run is resumed on another engine after the
+last received event, and an item that returns in a later step starts from its draft.
 """
 
 from collections import OrderedDict
@@ -9,53 +9,53 @@
 from dataclasses import dataclass, field
 from typing import Final, NamedTuple
 
-# Drafts kept for items that may come again; a step has some hundred items.
-DRAFTS_KEPT: Final = 2048
+# Drafts are kept for items that may return; a step has some hundred items.
+MAX_DRAFTS: Final = 2048
 
 
 class DraftPart(NamedTuple):
-    """Some events of one run of an item, from ``first_event_id`` on, as written to the log.
+    """Consecutive events of one run of an item, from ``first_event_id`` on, as saved in the log.
 
-    The run ``run_id`` was asked to go on after event ``run_after``. ``whole`` says that the
-    run ended the text behind these events.
+    The run ``run_id`` resumed after event ``resumed_after``. ``complete`` tells whether the text
+    ends after these events.
     """
 
     item_id: str
     first_event_id: int
     pieces: Sequence[str]
     versions: Sequence[int]
-    whole: bool
+    complete: bool
     run_id: str
-    run_after: int
+    resumed_after: int
 
 
 @dataclass
 class SavedRun:
-    """The saved parts of one run, put together; its first event is ``first_event_id``."""
+    """The joined saved parts of one run; its first event is ``first_event_id``."""
 
     run_id: str
-    run_after: int
+    resumed_after: int
     first_event_id: int
     pieces: list[str] = field(default_factory=list)
     versions: list[int] = field(default_factory=list)
-    whole: bool = False
+    complete: bool = False
 
     @classmethod
     def of(cls, part: DraftPart) -> "SavedRun":
-        """Return the run of a part, still without any event."""
-        return cls(part.run_id, part.run_after, part.first_event_id)
+        """Return an empty run with the metadata of a part."""
+        return cls(part.run_id, part.resumed_after, part.first_event_id)
 
     def extend(self, part: DraftPart) -> None:
-        """Add a part, unless one before it is missing."""
+        """Append a part; ignored unless it directly follows the parts before it."""
         if part.first_event_id != self.first_event_id + len(self.pieces):
             return
         self.pieces.extend(part.pieces)
         self.versions.extend(part.versions)
-        self.whole = part.whole
+        self.complete = part.complete
 
 
-class _RunMark(NamedTuple):
-    """From the event behind ``after`` on, a text was made by the run ``run_id``."""
+class _RunStart(NamedTuple):
+    """The run ``run_id`` generated the text from the event following ``after``."""
 
     after: int
     run_id: str
@@ -68,10 +68,10 @@
     item_id: str
     pieces: list[str] = field(default_factory=list)
     versions: list[int] = field(default_factory=list)
-    whole: bool = False
-    _marks: list[_RunMark] = field(default_factory=list)
+    complete: bool = False
+    _run_starts: list[_RunStart] = field(default_factory=list)
     _saved: int = 0
-    _saved_whole: bool = False
+    _saved_complete: bool = False
 
     @property
     def last_event_id(self) -> int:
@@ -79,14 +79,14 @@
         return len(self.pieces)
 
     def begin_run(self, run_id: str) -> None:
-        """Note that a run goes on behind the last event from now on."""
-        if self._marks and self._marks[-1].after == len(self.pieces):
-            # The run before made nothing.
-            self._marks.pop()
-        self._marks.append(_RunMark(len(self.pieces), run_id))
+        """Record that a new run resumes after the last event."""
+        if self._run_starts and self._run_starts[-1].after == len(self.pieces):
+            # The previous run produced no events.
+            self._run_starts.pop()
+        self._run_starts.append(_RunStart(len(self.pieces), run_id))
 
     def add(self, event_id: int, data: str, version: int) -> bool:
-        """Take the next event; False if it is not the next."""
+        """Append an event; return False without a change if it is not the next one."""
         if event_id != len(self.pieces) + 1:
             return False
         self.pieces.append(data)
@@ -98,94 +98,101 @@
         return "\n".join(self.pieces)
 
     def version_set(self) -> Sequence[int]:
-        """Return every version that made an event, lowest first."""
+        """Return the distinct versions of all events in ascending order."""
         return sorted(set(self.versions))
 
     def fits(self, min_version: int, *, single_version: bool) -> bool:
-        """Whether the text so far may be used in a step."""
+        """Return whether a step that allows these versions may use the draft."""
         if any(version < min_version for version in self.versions):
             return False
         return not single_version or len(set(self.versions)) <= 1
 
     def clear(self) -> None:
-        """Start the text anew."""
+        """Discard the text and its runs."""
         self.pieces.clear()
         self.versions.clear()
-        self.whole = False
-        self._marks.clear()
+        self.complete = False
+        self._run_starts.clear()
         self._saved = 0
-        self._saved_whole = False
+        self._saved_complete = False
 
-    def unsaved(self) -> Sequence[DraftPart]:
-        """Return what was made since the last save, by run, and count it as saved."""
-        if not self._marks or (self._saved == len(self.pieces) and self._saved_whole == self.whole):
+    def take_unsaved(self) -> Sequence[DraftPart]:
+        """Return the events since the last call, one part per run, and mark them as saved."""
+        if not self._run_starts or (
+            self._saved == len(self.pieces) and self._saved_complete == self.complete
+        ):
             return []
-        ends = [*(mark.after for mark in self._marks[1:]), len(self.pieces)]
+        ends = [*(start.after for start in self._run_starts[1:]), len(self.pieces)]
         parts = []
-        for mark, end in zip(self._marks, ends, strict=True):
-            is_last = mark is self._marks[-1]
-            first = max(mark.after, self._saved)
-            if first < end or (is_last and self.whole):
-                parts.append(self._part(mark, first, end, whole=is_last and self.whole))
+        for start, end in zip(self._run_starts, ends, strict=True):
+            is_last = start is self._run_starts[-1]
+            first = max(start.after, self._saved)
+            if first < end or (is_last and self.complete):
+                parts.append(self._part(start, first, end, complete=is_last and self.complete))
         self._saved = len(self.pieces)
-        self._saved_whole = self.whole
+        self._saved_complete = self.complete
         return parts
 
     def adopt(self, run: SavedRun) -> bool:
-        """Take over what a run made, if the text gets longer or whole by it.
+        """Adopt the events of a run if that makes the text longer or complete.
 
-        The text is cut where the run was asked to go on: an engine made what stands before,
-        and the run what follows. Spliced in any other way it would be no engine's output.
+        The text is truncated at the event after which the run resumed. Joined at any other point,
+        the result would be a text that no engine generated.
+
+        Returns whether the run was adopted.
         """
         beginning = run.first_event_id - 1
-        same_run = bool(self._marks) and self._marks[-1].run_id == run.run_id
-        if beginning > len(self.pieces) or not (same_run or beginning == run.run_after):
+        same_run = bool(self._run_starts) and self._run_starts[-1].run_id == run.run_id
+        if beginning > len(self.pieces) or not (same_run or beginning == run.resumed_after):
             return False
         length = beginning + len(run.pieces)
-        if (length, run.whole) <= (len(self.pieces), self.whole):
+        if (length, run.complete) <= (len(self.pieces), self.complete):
             return False
         del self.pieces[beginning:]
         del self.versions[beginning:]
         if not same_run:
-            self._marks = [mark for mark in self._marks if mark.after < beginning]
-            self._marks.append(_RunMark(beginning, run.run_id))
+            self._run_starts = [start for start in self._run_starts if start.after < beginning]
+            self._run_starts.append(_RunStart(beginning, run.run_id))
         self.pieces.extend(run.pieces)
         self.versions.extend(run.versions)
-        self.whole = run.whole
+        self.complete = run.complete
         self._saved = len(self.pieces)
-        self._saved_whole = self.whole
+        self._saved_complete = self.complete
         return True
 
-    def _part(self, mark: _RunMark, first: int, end: int, *, whole: bool) -> DraftPart:
+    def _part(self, start: _RunStart, first: int, end: int, *, complete: bool) -> DraftPart:
         pieces, versions = self.pieces[first:end], self.versions[first:end]
-        return DraftPart(self.item_id, first + 1, pieces, versions, whole, mark.run_id, mark.after)
+        return DraftPart(
+            self.item_id, first + 1, pieces, versions, complete, start.run_id, start.after
+        )
 
 
-class DraftShelf:
-    """Drafts by item, the ones used last kept longest."""
+class DraftStore:
+    """Drafts by item, with least recently used eviction."""
 
     def __init__(self) -> None:
         """Start empty."""
         self._drafts: OrderedDict[str, Draft] = OrderedDict()
 
     def get(self, item_id: str) -> Draft:
-        """Return an item's draft, a new one if there is none."""
+        """Return an item's draft, creating an empty one if necessary."""
         draft = self._drafts.get(item_id)
         if draft is None:
             draft = self._drafts[item_id] = Draft(item_id)
-            while len(self._drafts) > DRAFTS_KEPT:
+            while len(self._drafts) > MAX_DRAFTS:
                 self._drafts.popitem(last=False)
         self._drafts.move_to_end(item_id)
         return draft
 
-    def known(self, item_id: str) -> Draft | None:
-        """Return an item's draft if there is one."""
+    def find(self, item_id: str) -> Draft | None:
+        """Return an item's draft, or None."""
         return self._drafts.get(item_id)
 
     def restore(self, parts: Iterable[DraftPart]) -> int:
-        """Take what nodes saved, in the order of saving; return how many runs were used.
+        """Restore drafts from saved parts, given in the order of saving.
 
-        A run whose beginning is no longer kept is of use only to the draft that it made.
+        A run whose first parts were trimmed from the log can only extend a draft that already
+        holds events of the same run. Returns how many runs were adopted.
         """
         runs: dict[tuple[str, str], SavedRun] = {}
         for part in parts:
--- a/samphirecleat/durable/_duty.py
+++ b/samphirecleat/durable/_duty.py
@@ -1,8 +1,9 @@
-"""Keeps one node's share of the duties that one node at a time has: claims, runs, hands over.
+"""Claims, performs and hands over duties; each duty has one holder among the nodes at a time.
 
-A duty is known by its subject: a service whose steps are run and whose engines get orders, or
-what the platform's API is told for the whole system. All of them share this mechanism: the claim
-in the step log, its offset as fencing number, the heir, and what says that the claim still stands.
+A duty is identified by its subject: a service whose steps are run and whose engines receive orders,
+or calls to the platform's API on behalf of the whole system. All duties share this mechanism: the
+claim in the step log, its offset as fencing number, the choice of the next holder, and the check
+that the claim is still current.
 """
 
 import asyncio
@@ -20,42 +21,44 @@
 from ._records import incarnation_mark
 from ._step_log import StepLog
 
-LOOK_EVERY_S: Final = 0.1
-LOOK_JITTER: Final = 0.2
-# A leaving holder waits this long for the log to take its hand-over.
-HAND_OVER_S: Final = 1.0
-# A holder acts only within this long of the log's last word that its claim stands.
+CHECK_INTERVAL_S: Final = 0.1
+CHECK_JITTER: Final = 0.2
+# Timeout for saving and for writing the next holder's claim when this node leaves.
+HAND_OVER_TIMEOUT_S: Final = 1.0
+# A holder acts only if the log confirmed its claim within this time.
 MAX_CONFIRMATION_AGE_S: Final = 0.8
-# Where fences are not checked, added to the lease before an heir's first act: the confirmation
-# above, and slack.
+# Without checked fencing numbers, a new holder waits for the lease plus this before it acts. It
+# covers the confirmation age above and some slack.
 TAKEOVER_SLACK_S: Final = 1.0
-# Where they are, a call of the forerunner that is carried out late is refused. It only has to have
-# stopped: its last confirmation, its last call under way, and slack for clocks and the log.
-FENCED_WAIT_S: Final = 2.0
+# With checked fencing numbers, late calls of the previous holder are refused. The new holder only
+# waits until the previous one has stopped: its last confirmation, its last call in flight, and
+# slack for clocks and the log.
+FENCED_TAKEOVER_WAIT_S: Final = 2.0
 
 
 def takeover_wait_s(lease_s: float, *, fenced: bool) -> float:
-    """Return how long an heir lets pass before its first act."""
+    """Return how long a new holder waits before it first acts, in seconds."""
     longest_s = lease_s + TAKEOVER_SLACK_S
-    return min(FENCED_WAIT_S, longest_s) if fenced else longest_s
+    return min(FENCED_TAKEOVER_WAIT_S, longest_s) if fenced else longest_s
 
 
 class Holder(NamedTuple):
-    """Who acts under a claim.
+    """The holder of a claim.
 
-    ``wait_s`` is how long it lets pass first, so that no other node's act can still follow.
+    It does not act in the first ``wait_s``, in which an earlier holder's calls may still take
+    effect.
     """
 
     node_id: str
     fencing_number: int
     wait_s: float
     may_act: Callable[[float], bool]
-    """Whether the claim was confirmed within some seconds."""
+    """Return whether the claim was confirmed within the given number of seconds."""
     taken_at_s: float = 0.0
     """When the claim was taken, on the boot clock."""
 
     def may_act_now(self) -> bool:
-        """Whether no earlier holder can still act, and the claim is known to stand."""
+        """Return whether earlier holders have stopped and the claim was recently confirmed."""
         waited_s = boot_time_s() - self.taken_at_s
         return waited_s >= self.wait_s and self.may_act(MAX_CONFIRMATION_AGE_S)
 
@@ -64,36 +67,36 @@
     """The work of one subject under one claim."""
 
     def start(self, on_failure: Callable[[BaseException], None]) -> None:
-        """Begin; ``on_failure`` gets what ended a part of the work."""
+        """Start all tasks; ``on_failure`` gets the exception of a task that fails."""
         ...
 
     def stop(self) -> None:
-        """End at once."""
+        """Stop all tasks at once."""
         ...
 
     async def save(self) -> None:
-        """Keep what an heir goes on from."""
+        """Save the state from which the next holder continues."""
         ...
 
     @property
     def out_of_reach(self) -> bool:
-        """Whether another node could do what this one can't from where it is."""
+        """Whether this node can't perform the duty, but another node might."""
         ...
 
 
 DutyFactory = Callable[[str, Holder], Awaitable[Duty]]
-"""Makes the work of a subject for its holder."""
+"""Creates the duty of a subject for its holder."""
 
 
-class _Post(NamedTuple):
-    """A duty that this node has, under the claim at ``offset``."""
+class _HeldDuty(NamedTuple):
+    """A duty held by this node under the claim at ``offset``."""
 
     duty: Duty
     offset: int
 
 
 class DutyKeeper:
-    """Claims duties and does them for as long as the claim stands."""
+    """Claims duties and performs each while its claim is current."""
 
     def __init__(
         self,
@@ -106,53 +109,56 @@
         lease_s: float,
         fenced: bool = False,
     ) -> None:
-        """Act for the node of ``board``; ``subjects`` gives what there is to do now.
+        """Act for the node of ``board``; ``subjects`` returns the current duties.
 
-        ``lease_s`` separates the acts of two holders where they are not ``fenced`` by those who
-        take their calls.
+        ``lease_s`` separates the calls of two holders unless the called services check fencing
+        numbers (``fenced``).
         """
         self._board = board
         self._step_log = step_log
         self._subjects = subjects
         self._rng = rng
-        self._words = observer.log("duty")
-        self._heir_wait_s = takeover_wait_s(lease_s, fenced=fenced)
-        self._posts: dict[str, _Post] = {}
+        self._logger = observer.log("duty")
+        self._takeover_wait_s = takeover_wait_s(lease_s, fenced=fenced)
+        self._held: dict[str, _HeldDuty] = {}
         self._claimed_at_s: dict[str, float] = {}
         self._began_s = 0.0
         self._leaving = False
 
     async def run(self) -> None:
-        """Look after the duties for as long as the node lives."""
+        """Claim and perform duties until cancelled; stops all held duties on exit."""
         self._began_s = asyncio.get_running_loop().time()
         try:
             while True:
-                await self._look()
-                await asyncio.sleep(LOOK_EVERY_S * (1.0 + LOOK_JITTER * self._rng.random()))
+                await self._check_claims()
+                await asyncio.sleep(CHECK_INTERVAL_S * (1.0 + CHECK_JITTER * self._rng.random()))
         finally:
-            for subject in list(self._posts):
-                self._leave_post(subject)
+            for subject in list(self._held):
+                self._stop_duty(subject)
 
     async def hand_over(self) -> None:
-        """Name the next holder of each duty that this node has, with what it goes on from."""
+        """Hand each held duty over to another node, and claim nothing from now on.
+
+        Saves the state of each duty and writes the claim of its next holder.
+        """
         self._leaving = True
-        for subject in list(self._posts):
+        for subject in list(self._held):
             await self._hand_over(subject)
 
     def held_duties(self) -> Mapping[str, int]:
-        """Return the subjects that this node holds, with their fencing numbers."""
-        return {subject: post.offset for subject, post in self._posts.items()}
+        """Return the fencing numbers of the duties that this node holds, by subject."""
+        return {subject: held.offset for subject, held in self._held.items()}
 
     async def _hand_over(self, subject: str) -> None:
-        heir = successor(self._candidates(), self._board.identity.incarnation)
-        if heir is None:
+        next_holder = successor(self._candidates(), self._board.identity.incarnation)
+        if next_holder is None:
             return
         try:
-            async with asyncio.timeout(HAND_OVER_S):
-                await self._posts[subject].duty.save()
-                await self._step_log.claim(subject, heir.node_id, heir.incarnation)
+            async with asyncio.timeout(HAND_OVER_TIMEOUT_S):
+                await self._held[subject].duty.save()
+                await self._step_log.claim(subject, next_holder.node_id, next_holder.incarnation)
         except TimeoutError:
-            self._words.warning("subject=%s not handed over in time", subject)
+            self._logger.warning("subject=%s hand-over timed out", subject)
 
     def _candidates(self) -> list[Candidate]:
         return [
@@ -161,29 +167,31 @@
             if m.ready and not m.leaving
         ]
 
-    async def _look(self) -> None:
+    async def _check_claims(self) -> None:
         if not self._step_log.caught_up:
             return
         own = self._board.identity.incarnation
         subjects = self._subjects()
-        for subject in list(self._posts):
+        for subject in list(self._held):
             claim = self._step_log.fold.claims.get(subject)
-            lost = claim is None or claim.offset != self._posts[subject].offset
+            lost = claim is None or claim.offset != self._held[subject].offset
             if lost or subject not in subjects:
-                self._leave_post(subject)
+                self._stop_duty(subject)
         for subject, maker in subjects.items():
             claim = self._step_log.fold.claims.get(subject)
             if claim is not None and claim.incarnation == own:
-                if subject not in self._posts and not self._leaving:
-                    await self._take_post(subject, claim, maker)
-                elif not self._leaving and self._posts[subject].duty.out_of_reach:
-                    self._words.warning("subject=%s out of reach from here", subject)
+                if subject not in self._held and not self._leaving:
+                    await self._start_duty(subject, claim, maker)
+                elif not self._leaving and self._held[subject].duty.out_of_reach:
+                    self._logger.warning(
+                        "subject=%s handing over, not possible from this node", subject
+                    )
                     await self._hand_over(subject)
             elif not self._leaving and not self._is_held(claim):
                 await self._claim_if_due(subject, claim)
 
     def _is_held(self, claim: Claim | None) -> bool:
-        """Whether the node of a claim lives and stays, which is so nearly all the time."""
+        """Return whether the claiming process is alive and not leaving."""
         view = self._board.members.get(claim.node_id) if claim is not None else None
         if claim is None or view is None:
             return False
@@ -195,9 +203,11 @@
         identity = self._board.identity
         members = list(self._board.members.values())
         alive = {m.incarnation for m in self._board.live_members() if not m.leaving}
-        heard_s = self._step_log.last_write_by
+        last_write_by = self._step_log.last_write_by
         claim_age_s = now_s - self._step_log.claimed_at_s.get(subject, -1e9)
-        silent_s = now_s - heard_s.get(incarnation_mark(claim.incarnation), -1e9) if claim else 1e9
+        silent_s = (
+            now_s - last_write_by.get(incarnation_mark(claim.incarnation), -1e9) if claim else 1e9
+        )
         view = ElectionView(
             identity.incarnation,
             self._candidates(),
@@ -214,10 +224,10 @@
         self._claimed_at_s[subject] = now_s
         written = await self._step_log.claim(subject, identity.node_id, identity.incarnation)
         if written.outcome is AppendOutcome.NOT_APPENDED:
-            # No claim was made that another node's could take turns with. Until the fold is
-            # stale, which bounds the tries, the log may take the next one.
+            # The claim was not written, so it can't alternate with another node's claims and
+            # needs no pause. Attempts end when the local state of the log becomes stale.
             del self._claimed_at_s[subject]
-        self._words.info(
+        self._logger.info(
             "subject=%s claimed after=%s/%s candidates=%d known=%d outcome=%s",
             subject,
             claim.node_id if claim else "",
@@ -227,20 +237,20 @@
             written.outcome.value,
         )
 
-    async def _take_post(self, subject: str, claim: Claim, maker: DutyFactory) -> None:
-        # One host is one holder, whichever of its processes acts.
-        follows_other = claim.previous_node_id not in ("", claim.node_id)
+    async def _start_duty(self, subject: str, claim: Claim, maker: DutyFactory) -> None:
+        # All processes of a host count as the same holder.
+        previous_is_other = claim.previous_node_id not in ("", claim.node_id)
         holder = Holder(
             claim.node_id,
             claim.offset,
-            self._heir_wait_s if follows_other else 0.0,
+            self._takeover_wait_s if previous_is_other else 0.0,
             self._may_act(subject, claim),
             boot_time_s(),
         )
         duty = await maker(subject, holder)
         duty.start(partial(self._note_failure, subject, claim.offset))
-        self._posts[subject] = _Post(duty, claim.offset)
-        self._words.info(
+        self._held[subject] = _HeldDuty(duty, claim.offset)
+        self._logger.info(
             "subject=%s taken fencing=%d follows=%s", subject, claim.offset, claim.previous_node_id
         )
 
@@ -254,13 +264,13 @@
         return may_act
 
     def _note_failure(self, subject: str, offset: int, error: BaseException) -> None:
-        """Begin a duty anew when a part of it failed: what waits for it would wait for good."""
-        self._words.error("a part of a duty failed", exc_info=error)
-        post = self._posts.get(subject)
-        if post is not None and post.offset == offset:
-            self._leave_post(subject)
-
-    def _leave_post(self, subject: str) -> None:
-        post = self._posts.pop(subject)
-        post.duty.stop()
-        self._words.info("subject=%s left fencing=%d", subject, post.offset)
+        """Stop a duty whose task failed; the next check restarts it, so that no work is stuck."""
+        self._logger.error("a task of a duty failed, restarting the duty", exc_info=error)
+        held = self._held.get(subject)
+        if held is not None and held.offset == offset:
+            self._stop_duty(subject)
+
+    def _stop_duty(self, subject: str) -> None:
+        held = self._held.pop(subject)
+        held.duty.stop()
+        self._logger.info("subject=%s left fencing=%d", subject, held.offset)
--- a/samphirecleat/durable/_duty_tasks.py
+++ b/samphirecleat/durable/_duty_tasks.py
@@ -6,10 +6,10 @@
 
 
 class DutyTasks:
-    """Tasks that end together; the first failure of one is told."""
+    """Tasks that are stopped together; failures are reported by callback."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without tasks."""
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(
@@ -17,7 +17,7 @@
         works: Sequence[Coroutine[Any, Any, None]],
         on_failure: Callable[[BaseException], None],
     ) -> None:
-        """Run all of ``works`` beside each other."""
+        """Run all of ``works`` concurrently; ``on_failure`` gets each exception."""
 
         def note_end(task: asyncio.Task[None]) -> None:
             error = None if task.cancelled() else task.exception()
--- a/samphirecleat/durable/_election.py
+++ b/samphirecleat/durable/_election.py
@@ -1,8 +1,8 @@
-"""Who runs a service's steps and gives its orders: decided by claims in the step log.
+"""Election of the node that runs a service, by claims in the step log.
 
-A claim only saves work. Two nodes that both run a step double nothing (the fold takes the
-first result), and orders carry the claim's offset as fencing number. So a claim needs no
-lease, and a wrong view of the members costs a little work.
+Claims only avoid duplicate work. If two nodes run a step, the fold accepts the first result of each
+item, and orders carry the claim's offset as fencing number. Claims therefore need no lease, and an
+incorrect membership view costs only a little repeated work.
 """
 
 from collections.abc import Collection, Sequence
@@ -11,21 +11,21 @@
 from .._strong_hosts import strong_from_cores
 from ._fold import Claim
 
-# A node that hears of less than half of those it knew may itself be the one that is cut
-# off; it claims only after this long, in which the others would have shown themselves.
+# A node that sees less than half of the known members may itself be partitioned. It claims only
+# after the runner has been silent for this long, in which any other node would have been noticed.
 MINORITY_DELAY_S: Final = 4.0
-# After a claim of its own a node waits this long before it claims the service again, so
-# that two nodes that can't hear each other do not take turns in a hurry.
+# Minimum time between a node's own claims of a service, so that two nodes that can't see each other
+# do not alternate rapidly.
 CLAIM_PAUSE_S: Final = 2.5
-# A claim that was just made may be by a node that this one has not heard of yet, and a
-# node that has just started hears of the others within two heartbeats.
+# A new claim may be by a node that this one does not know yet; a starting node learns of the others
+# within two heartbeats.
 SETTLE_S: Final = 0.6
-# Processes that started within this long of each other count as equally new.
+# Processes whose start times differ by less than this count as equally new.
 SAME_AGE_MS: Final = 1500
 
 
 class Candidate(NamedTuple):
-    """A live node that could run a service; ``cores`` is the processor time it may use."""
+    """A live node that could run a service; ``cores`` is its processor limit."""
 
     node_id: str
     incarnation: str
@@ -34,10 +34,10 @@
 
 
 class ElectionView(NamedTuple):
-    """What one node knows when it decides; times are seconds ago.
+    """The local state on which one node decides; ages are in seconds.
 
-    ``candidates`` are ready and stay, this node among them if it does.
-    ``runner_silent_s`` is how long the present runner was not heard of, in any way.
+    ``candidates`` are the nodes that are ready and not leaving, including this one if it qualifies.
+    ``runner_silent_s`` is the time since the log last received a write of the current runner.
     """
 
     own_incarnation: str
@@ -52,13 +52,14 @@
 
 
 def ranked(candidates: Sequence[Candidate], last_node_id: str = "") -> Sequence[Candidate]:
-    """Return the candidates, the one that should claim first in front.
+    """Return the candidates in order of preference, best first.
 
-    Nodes on strong hosts come first: a runner takes every event of a service's engines, which
-    is more than the smallest host of a mixed fleet has time for. Then a new process of the
-    node that ran the service last: its host needs no wait before it gives orders again. Then
-    the newest processes: when nodes are restarted in turn, they are not restarted next. Names
-    break the tie.
+    1. Nodes on strong hosts: a runner handles every event of a service's engines, which overloads
+       the smallest hosts of a mixed fleet.
+    2. A new process of the node that ran the service last: it may send orders without a wait.
+    3. The newest processes: in a rolling restart they are not restarted next.
+
+    Node ids break ties.
     """
     strong_cores = strong_from_cores(candidate.cores for candidate in candidates)
     newest_ms = max((candidate.started_at_ms for candidate in candidates), default=0)
@@ -89,7 +90,7 @@
 
 
 def successor(candidates: Sequence[Candidate], own_incarnation: str) -> Candidate | None:
-    """Return who takes over from a runner that leaves, or None if nobody is there."""
+    """Return the node that takes over from a leaving runner, or None without another node."""
     for candidate in ranked(candidates):
         if candidate.incarnation != own_incarnation:
             return candidate
--- a/samphirecleat/durable/_finisher.py
+++ b/samphirecleat/durable/_finisher.py
@@ -1,4 +1,4 @@
-"""Has whole texts scored and listed, and items that can't be made listed as dead."""
+"""Scores complete texts and lists results, including items that are given up."""
 
 import asyncio
 from collections.abc import Collection
@@ -12,32 +12,32 @@
 
 
 class Finisher:
-    """Hands results in; writes the scores and the handed-in items of the service's work."""
+    """Submits results; owns ``scoring`` and ``submitted`` of the service's work."""
 
     def __init__(self, work: ServiceWork, scorer: Scorer, observer: Observer) -> None:
         """Score with ``scorer`` and list in the step log of ``work``."""
         self._work = work
         self._scorer = scorer
-        self._words = observer.log("runner")
+        self._logger = observer.log("runner")
 
     def score(self, open_item: OpenItem, draft: Draft) -> None:
-        """Have a whole text scored, and then listed."""
+        """Start scoring a complete text; it is listed afterwards."""
         self._work.scoring[open_item.name] = asyncio.ensure_future(self._score(open_item, draft))
 
     def give_up(self, open_item: OpenItem) -> None:
-        """List an item as dead."""
+        """List an item as given up, without a text."""
         step_id, item_id = open_item.name
-        self._hand_in(FinishedItem(step_id, item_id, None, (), ""))
+        self._submit(FinishedItem(step_id, item_id, None, (), ""))
 
     def keep_only(self, wanted_steps: Collection[str]) -> None:
-        """Cancel the scores of steps that are over, and forget what was handed in for them."""
+        """Cancel scoring for all other steps and forget the items submitted for them."""
         for (step_id, _item_id), task in list(self._work.scoring.items()):
             if step_id not in wanted_steps:
                 task.cancel()
-        self._work.handed_in = {name for name in self._work.handed_in if name[0] in wanted_steps}
+        self._work.submitted = {name for name in self._work.submitted if name[0] in wanted_steps}
 
     def close(self) -> None:
-        """Cancel every score; the drafts stay whole."""
+        """Cancel all scoring; the drafts stay complete."""
         for task in list(self._work.scoring.values()):
             task.cancel()
 
@@ -49,14 +49,14 @@
             if item.reward is not None and not score:
                 self.give_up(open_item)
                 return
-            self._hand_in(FinishedItem(step_id, item_id, draft.text(), draft.version_set(), score))
+            self._submit(FinishedItem(step_id, item_id, draft.text(), draft.version_set(), score))
         finally:
             self._work.scoring.pop(open_item.name, None)
             self._work.changed.set()
 
-    def _hand_in(self, result: FinishedItem) -> None:
-        self._work.handed_in.add((result.step_id, result.item_id))
-        self._words.info(
+    def _submit(self, result: FinishedItem) -> None:
+        self._work.submitted.add((result.step_id, result.item_id))
+        self._logger.info(
             "item=%s step=%s completed=%s versions=%s",
             result.item_id,
             result.step_id,
--- a/samphirecleat/durable/_item_bound.py
+++ b/samphirecleat/durable/_item_bound.py
@@ -1,8 +1,8 @@
-"""Keeps an item that ends the engines that run it from ending one after the other.
+"""Backoff for items that are suspected of crashing engines.
 
-Load pattern answered: an item's prompt crashes each engine that begins to run it. It may not be
-given up for that, and a run that breaks off is otherwise made anew at the next engine at once; a
-step would take all engines down, with every other run on them.
+Failure guarded against: an item's prompt crashes every engine that starts it. Such an item may not
+be given up, and an interrupted run is normally retried at once on another engine. Without a backoff
+one item would take down all engines of the service, with every other run on them.
 """
 
 from collections.abc import Collection
@@ -14,48 +14,52 @@
 from ._item_run import ItemRun
 from ._ports import GenerationError
 
-# An item that ends its engines is run once in this time. It is still owed to its step, so it may
-# not wait for long.
-BARRED_REST_S: Final = 3.5
+# Minimum time between runs of an item that is barred for crashing engines. Kept short, because the
+# step still needs the item's result.
+BARRED_BACKOFF_S: Final = 3.5
 
 
-class ItemBound:
-    """What one runner knows of items under which engines ended."""
+class CrashBackoff:
+    """Tracks the items of one runner whose runs were cut off by their engine."""
 
     def __init__(self, guard: CrashGuard | None) -> None:
-        """Share evidence with ``guard``; without one, no item rests for it."""
+        """Report evidence to ``guard``; without a guard, no item backs off."""
         self._guard = guard
-        self._cut: dict[ItemName, tuple[bytes, float]] = {}
+        self._cut_runs: dict[ItemName, tuple[bytes, float]] = {}
 
-    async def cut(self, run: ItemRun, begun_s: float, error: GenerationError, now_s: float) -> None:
-        """Take a run that broke off, which may have ended with its engine."""
+    async def record_cut(
+        self, run: ItemRun, begun_s: float, error: GenerationError, now_s: float
+    ) -> None:
+        """Record a run that was cut off, possibly because its engine crashed."""
         if self._guard is None or not error.cut:
             return
-        mark = _mark_of(run)
-        self._cut[run.name] = (mark, now_s)
+        mark = _item_mark(run)
+        self._cut_runs[run.name] = (mark, now_s)
         item_id, start = run.open_item.item.item_id, start_of(run.target)
         await self._guard.cut(item_id, mark, start, begun_s, error.detail)
 
-    def whole(self, run: ItemRun) -> None:
-        """Note that an engine made an item's whole text."""
-        if self._guard is not None and self._cut.pop(run.name, None) is not None:
-            self._guard.answered(run.open_item.item.item_id, _mark_of(run))
+    def record_completion(self, run: ItemRun) -> None:
+        """Record that an engine completed the item's text, which clears the suspicion."""
+        if self._guard is not None and self._cut_runs.pop(run.name, None) is not None:
+            self._guard.answered(run.open_item.item.item_id, _item_mark(run))
 
-    def rests(self, name: ItemName, now_s: float) -> bool:
-        """Whether an item waits since engines ended under it."""
-        known = self._cut.get(name)
+    def is_backing_off(self, name: ItemName, now_s: float) -> bool:
+        """Return whether an item is barred and its backoff has not passed yet."""
+        known = self._cut_runs.get(name)
         if self._guard is None or known is None:
             return False
         mark, cut_s = known
-        return now_s - cut_s < BARRED_REST_S and self._guard.bars(mark)
+        return now_s - cut_s < BARRED_BACKOFF_S and self._guard.bars(mark)
 
     def keep_only(self, wanted_steps: Collection[str]) -> None:
-        """Forget the items of other steps."""
-        self._cut = {name: known for name, known in self._cut.items() if name[0] in wanted_steps}
+        """Drop the records of items of other steps."""
+        self._cut_runs = {
+            name: known for name, known in self._cut_runs.items() if name[0] in wanted_steps
+        }
 
 
-def _mark_of(run: ItemRun) -> bytes:
-    """Return what stands for an item; unlike a caller's call, it keeps its id."""
+def _item_mark(run: ItemRun) -> bytes:
+    """Return the guard's mark for an item; unlike a caller's call, it includes the item id."""
     spec, item = run.open_item.step.spec, run.open_item.item
     whose = f"{spec.workspace}/{item.item_id}"
     return call_mark("POST", spec.host, item.raw_path, whose, item.body)
--- a/samphirecleat/durable/_item_decisions.py
+++ b/samphirecleat/durable/_item_decisions.py
@@ -1,8 +1,8 @@
-"""What becomes of an item, a run and an engine that failed: pure decisions of a service's runner.
+"""Pure decision functions of a service's runner for items, runs and failures.
 
-Load pattern answered: some hundred items of several steps at once, of which a few run on an
-engine that turned slow, fell silent, refuses, or fails each time. What such an item, its run and
-its engine do next is decided here; :mod:`._planner` decides which item starts next, and where.
+Load pattern: some hundred items of several steps at once, a few of them on an engine that became
+slow, stopped sending, refuses, or fails every run. This module decides what happens next to such
+an item, its run and its engine; :mod:`._planner` decides which item starts next, and where.
 """
 
 import math
@@ -16,74 +16,77 @@
 ItemName = tuple[str, str]
 """The ids of a step and of one of its items."""
 
-# A run that is this much slower than the typical engine moves to one with a free place:
-# going on elsewhere costs a few milliseconds of reading.
-MOVE_SLOWNESS: Final = 2.0
-MOVE_TO_SLOWNESS: Final = 1.4
-MOVE_AFTER_EVENTS: Final = 3
-# A text that would be late moves to an engine that is this much faster, in parts of the typical
-# pace and in the time that it gains; less is within what paces differ by from event to event.
-FASTER_BY_SLOWNESS: Final = 0.15
-FASTER_BY_S: Final = 0.3
-# Between a text's last event and its listing: the score, two appends, the trainer's next read.
-FINISH_S: Final = 0.5
-# Lengths have a long tail.
-OUTLASTING_FACTOR: Final = 2
-# An engine that failed gets nothing for this long; one that refused, until a run may have ended.
-ENGINE_REST_S: Final = 0.5
-REFUSAL_REST_S: Final = 0.1
-# The same item waits this long after a failed run.
-ITEM_REST_S: Final = 0.05
-
-
-class NextStep(Enum):
-    """What an item that nothing is done for needs next."""
+# A run leaves an engine slower than MIN_SLOWNESS_TO_MOVE, relative to the median engine, if one
+# faster than MAX_DESTINATION_SLOWNESS has a free slot. Resuming costs a few milliseconds to
+# reprocess the text.
+MIN_SLOWNESS_TO_MOVE: Final = 2.0
+MAX_DESTINATION_SLOWNESS: Final = 1.4
+MIN_EVENTS_BEFORE_MOVE: Final = 3
+# A text that would miss its deadline moves only for at least this gain in slowness and in time;
+# smaller differences are within the event-to-event variation of an engine.
+MIN_SLOWNESS_GAIN: Final = 0.15
+MIN_TIME_GAIN_S: Final = 0.3
+# Time from a text's last event to its listing: scoring, two log appends, the trainer's next read.
+FINISH_DELAY_S: Final = 0.5
+# Lengths have a long tail: a text longer than its hint is expected to grow by this factor of its
+# current length.
+EXCEEDED_HINT_FACTOR: Final = 2
+# Time without new items for an engine that failed. It is shorter after a refusal: one of the
+# engine's runs may have ended by then.
+ENGINE_BACKOFF_S: Final = 0.5
+REFUSAL_BACKOFF_S: Final = 0.1
+# Delay before an item is retried after a failed run.
+ITEM_BACKOFF_S: Final = 0.05
+
+
+class ItemAction(Enum):
+    """The next action for an item that is neither running, nor being scored, nor submitted."""
 
     GIVE_UP = "give_up"
-    REST = "rest"
-    MAKE = "make"
-    MAKE_ANEW = "make_anew"
+    BACK_OFF = "rest"
+    GENERATE = "make"
+    REGENERATE = "make_anew"
     SCORE = "score"
 
 
-class ItemStanding(NamedTuple):
-    """An item that has no run, no score under way, and no result that waits to be listed.
+class ItemStatus(NamedTuple):
+    """An item that is neither running, nor being scored, nor submitted for listing.
 
-    ``age_s`` is the time since its step was accepted, ``retention_s`` the age at which it may be
-    given up, 0 for never. ``draft_fits`` says that what was made of its text may be used.
+    ``age_s`` is the time since its step was accepted. ``retention_s`` is the age at which the item
+    may be given up, 0 for never. ``draft_usable`` tells whether its partial text may be used.
     """
 
     age_s: float
     retention_s: float
-    rests: bool
-    draft_fits: bool
-    draft_whole: bool
+    backing_off: bool
+    draft_usable: bool
+    draft_complete: bool
 
 
-def next_step(item: ItemStanding) -> NextStep:
-    """Return what an item needs next."""
+def next_action(item: ItemStatus) -> ItemAction:
+    """Return the next action for an item."""
     if 0.0 < item.retention_s <= item.age_s:
-        return NextStep.GIVE_UP
-    if item.rests:
-        return NextStep.REST
-    if not item.draft_fits:
-        return NextStep.MAKE_ANEW
-    return NextStep.SCORE if item.draft_whole else NextStep.MAKE
+        return ItemAction.GIVE_UP
+    if item.backing_off:
+        return ItemAction.BACK_OFF
+    if not item.draft_usable:
+        return ItemAction.REGENERATE
+    return ItemAction.SCORE if item.draft_complete else ItemAction.GENERATE
 
 
 class RunView(NamedTuple):
-    """A run on an engine of some slowness; ``moving`` if it was asked to end there.
+    """A run as the move decision sees it; ``moving`` if a move was already requested.
 
-    At the typical pace its text takes ``rest_s`` more, and it is due in ``due_in_s``. Its engine
-    leaves in ``leaves_in_s``. Only weights of ``min_version`` of its ``model`` and newer may go
-    on with it.
+    At the median engine's speed the text takes ``remaining_s`` more; it is due in ``due_in_s``.
+    The engine stops in ``leaves_in_s``. Only engines with ``model`` at ``min_version`` or newer
+    may resume the run.
     """
 
     name: ItemName
     slowness: float
     events: int
     moving: bool
-    rest_s: float = 0.0
+    remaining_s: float = 0.0
     due_in_s: float = math.inf
     leaves_in_s: float = math.inf
     model: str = ""
@@ -91,76 +94,77 @@
 
     @property
     def slack_s(self) -> float:
-        """What is left when the text is whole, scored and listed, if the run stays."""
-        return self.due_in_s - self.rest_s * self.slowness - FINISH_S
+        """Time between listing and deadline if the run stays on its engine; negative if late."""
+        return self.due_in_s - self.remaining_s * self.slowness - FINISH_DELAY_S
 
 
 def runs_to_move(runs: Sequence[RunView], engines: Sequence[EngineView]) -> Sequence[ItemName]:
-    """Return the runs that go on at other engines, the most pressed first.
+    """Return the runs to move to other engines, the one with the least slack first.
 
-    A run leaves an engine that turned slow or leaves before its text is whole, and an engine that
-    is only a little slower if its text would be late there. Each takes one free place.
+    A run moves if its engine is much slower than the median or stops before the text is complete.
+    If the text would miss its deadline, a smaller gain in speed suffices. Each move takes one free
+    slot.
     """
     free = [engine for engine in engines if engine.accepts and engine.running < engine.slots]
     moved: list[ItemName] = []
     for run in sorted(runs, key=lambda run: run.slack_s):
-        if run.moving or run.events < MOVE_AFTER_EVENTS:
+        if run.moving or run.events < MIN_EVENTS_BEFORE_MOVE:
             continue
-        better = [engine for engine in free if _goes_on_better(run, engine)]
+        better = [engine for engine in free if _benefits_from_move(run, engine)]
         if not better:
             continue
-        taken = min(better, key=lambda engine: engine.slowness)
-        free.remove(taken)
-        if taken.running + 1 < taken.slots:
-            free.append(taken._replace(running=taken.running + 1))
+        chosen = min(better, key=lambda engine: engine.slowness)
+        free.remove(chosen)
+        if chosen.running + 1 < chosen.slots:
+            free.append(chosen._replace(running=chosen.running + 1))
         moved.append(run.name)
     return moved
 
 
-def _goes_on_better(run: RunView, engine: EngineView) -> bool:
+def _benefits_from_move(run: RunView, engine: EngineView) -> bool:
     if engine.versions.get(run.model, -1) < run.min_version:
         return False
-    if run.rest_s * run.slowness > run.leaves_in_s:
+    if run.remaining_s * run.slowness > run.leaves_in_s:
         return True
-    if run.slowness > MOVE_SLOWNESS and engine.slowness < MOVE_TO_SLOWNESS:
+    if run.slowness > MIN_SLOWNESS_TO_MOVE and engine.slowness < MAX_DESTINATION_SLOWNESS:
         return True
     faster_by = run.slowness - engine.slowness
     return (
         run.slack_s < 0.0
-        and faster_by >= FASTER_BY_SLOWNESS
-        and faster_by * run.rest_s >= FASTER_BY_S
+        and faster_by >= MIN_SLOWNESS_GAIN
+        and faster_by * run.remaining_s >= MIN_TIME_GAIN_S
     )
 
 
-def expected_rest_events(made: int, hinted: int, most: int) -> int:
-    """Return how many events a text is expected to get beyond those that were made.
+def expected_remaining_events(made: int, hinted: int, maximum: int) -> int:
+    """Return how many more events a text is expected to have.
 
-    Hints are right at the median and often far off. One that was outlasted says nothing more; a
-    text that has come so far is then expected to come as far again and once more.
+    Length hints are right at the median and often far off. Once a text is longer than its hint,
+    the hint is ignored and the remaining length is estimated from the current length.
     """
     if made < hinted:
         return hinted - made
-    return max(0, min(OUTLASTING_FACTOR * made, most - made))
+    return max(0, min(EXCEEDED_HINT_FACTOR * made, maximum - made))
 
 
-class Aftermath(NamedTuple):
-    """What follows a run that ended without its end."""
+class FailureResponse(NamedTuple):
+    """Consequences of a run that ended early."""
 
-    item_dead: bool = False
-    item_rest_s: float = ITEM_REST_S
-    engine_rest_s: float = 0.0
+    give_up_item: bool = False
+    item_backoff_s: float = ITEM_BACKOFF_S
+    engine_backoff_s: float = 0.0
 
 
-def after_failed_run(reason: GenerationEnd, failures: int, max_attempts: int) -> Aftermath:
-    """Return what follows; the engines ``failures`` times answered that they failed the item."""
+def failure_response(reason: GenerationEnd, failures: int, max_attempts: int) -> FailureResponse:
+    """Return the response to a failed run, the item having failed on engines ``failures`` times."""
     match reason:
         case GenerationEnd.IMPOSSIBLE:
-            return Aftermath(item_dead=True)
+            return FailureResponse(give_up_item=True)
         case GenerationEnd.FAILED:
-            return Aftermath(item_dead=failures >= max_attempts)
+            return FailureResponse(give_up_item=failures >= max_attempts)
         case GenerationEnd.REFUSED:
-            return Aftermath(engine_rest_s=REFUSAL_REST_S)
+            return FailureResponse(engine_backoff_s=REFUSAL_BACKOFF_S)
         case GenerationEnd.BROKEN | GenerationEnd.WRONG_INSTANCE:
-            return Aftermath(engine_rest_s=ENGINE_REST_S)
+            return FailureResponse(engine_backoff_s=ENGINE_BACKOFF_S)
         case GenerationEnd.SILENT:
-            return Aftermath(item_rest_s=0.0, engine_rest_s=ENGINE_REST_S)
+            return FailureResponse(item_backoff_s=0.0, engine_backoff_s=ENGINE_BACKOFF_S)
--- a/samphirecleat/durable/_item_loader.py
+++ b/samphirecleat/durable/_item_loader.py
@@ -1,4 +1,4 @@
-"""Reads the items of steps that a service's runner is to make."""
+"""Reads the items of open steps from the step log."""
 
 import asyncio
 from typing import Final
@@ -8,27 +8,27 @@
 from ._ports import LogUnavailableError
 from ._service_work import ServiceWork
 
-# Between tries while the log gives no answer.
-RETRY_S: Final = 0.1
+# Delay between attempts while the log is unavailable.
+RETRY_INTERVAL_S: Final = 0.1
 
 
 class ItemLoader:
-    """Reads each wanted step's items once, for as long as the step is open."""
+    """Reads the items of each requested step, retrying while the step is open."""
 
     def __init__(self, work: ServiceWork, observer: Observer) -> None:
         """Read from the step log of ``work``."""
         self._work = work
-        self._words = observer.log("runner")
+        self._logger = observer.log("runner")
         self._loads: dict[str, asyncio.Task[None]] = {}
 
-    def want(self, step: StepState) -> None:
-        """Have a step's items read, unless they are being read."""
+    def request(self, step: StepState) -> None:
+        """Start reading a step's items unless a read is already in progress."""
         step_id = step.spec.step_id
         if step_id not in self._loads:
             self._loads[step_id] = asyncio.ensure_future(self._load(step))
 
     def close(self) -> None:
-        """Read no more."""
+        """Cancel all reads."""
         for task in list(self._loads.values()):
             task.cancel()
 
@@ -39,12 +39,14 @@
                 try:
                     step.take_items(await self._work.step_log.read_items(step.spec))
                 except LogUnavailableError as error:
-                    self._words.warning("step=%s items not read: %s", step.spec.step_id, error)
-                    await asyncio.sleep(RETRY_S)
+                    self._logger.warning(
+                        "step=%s reading items failed: %s", step.spec.step_id, error
+                    )
+                    await asyncio.sleep(RETRY_INTERVAL_S)
                     continue
                 took_s = asyncio.get_running_loop().time() - began_s
-                self._words.info(
-                    "step=%s items=%d read after %.3f s",
+                self._logger.info(
+                    "step=%s items=%d read in %.3f s",
                     step.spec.step_id,
                     len(step.items),
                     took_s,
--- a/samphirecleat/durable/_item_run.py
+++ b/samphirecleat/durable/_item_run.py
@@ -1,4 +1,4 @@
-"""One item on one engine: its stream is taken into the item's draft, event by event."""
+"""One run of an item on an engine: appends the streamed events to the item's draft."""
 
 import asyncio
 import secrets
@@ -11,20 +11,23 @@
 from ._drafts import Draft
 from ._item_decisions import ItemName
 from ._open_item import OpenItem
-from ._paces import Pace
+from ._paces import EngineStats
 from ._ports import GenerationCall, GenerationChannel, GenerationEnd, GenerationError, Piece
 
-# A run is given up after so long without an event. Engines make one in about 40 ms; one
-# that takes new weights pauses for a second.
-STALL_S: Final = 1.5
-FIRST_EVENT_S: Final = 2.0
-# What an engine is told of the time left where the route names no end.
-UNBOUNDED_RUN_S: Final = 60.0
+# A run is aborted after this long without an event. Engines emit one about every 40 ms and pause
+# for about a second while they load new weights.
+EVENT_TIMEOUT_S: Final = 1.5
+FIRST_EVENT_TIMEOUT_S: Final = 2.0
+# Time budget sent to the engine when the route sets no retention.
+DEFAULT_RUN_BUDGET_S: Final = 60.0
 
 
 @dataclass
 class ItemRun:
-    """One run, at the priority of its workspace; ``move`` may be set to have it end soon."""
+    """One run, at the priority of its workspace.
+
+    Setting ``move_requested`` ends the run at its next event.
+    """
 
     open_item: OpenItem
     target: Target
@@ -33,63 +36,63 @@
     priority: int = MIDDLE_PRIORITY
     task: asyncio.Task[None] | None = None
     events: int = 0
-    move: bool = False
+    move_requested: bool = False
 
     @property
     def name(self) -> ItemName:
-        """The step's and the item's id."""
+        """The ids of the step and the item."""
         return self.open_item.name
 
 
-async def stream_item(run: ItemRun, engines: GenerationChannel, pace: Pace) -> None:
-    """Take the events of one run into its draft, until the text is whole.
+async def stream_item(run: ItemRun, engines: GenerationChannel, stats: EngineStats) -> None:
+    """Append the events of one run to its draft until the text is complete.
 
-    :raises GenerationError: when the run ends before that, or the engine falls silent.
+    :raises GenerationError: when the run ends before that, or no event arrives in time.
     """
     loop = asyncio.get_running_loop()
     spec = run.open_item.step.spec
     run.draft.begin_run(secrets.token_hex(6))
-    stream = engines.generate(_call_of(run, loop.time()), run.target)
+    stream = engines.generate(_make_call(run, loop.time()), run.target)
     last_s = loop.time()
-    wait_s = FIRST_EVENT_S
+    wait_s = FIRST_EVENT_TIMEOUT_S
     try:
         while True:
             piece = await _next_piece(stream, wait_s)
             if piece is None:
                 break
-            _take_piece(run, piece)
-            pace.note_version(spec.model, piece.version)
+            _add_piece(run, piece)
+            stats.note_version(spec.model, piece.version)
             now_s = loop.time()
             run.events += 1
             if run.events > 1:
-                pace.note_pause(now_s - last_s)
+                stats.record_event_interval(now_s - last_s)
             last_s = now_s
-            wait_s = STALL_S
-            if run.move:
-                raise GenerationError("a faster engine is free", GenerationEnd.REFUSED)
+            wait_s = EVENT_TIMEOUT_S
+            if run.move_requested:
+                raise GenerationError("moved to a faster engine", GenerationEnd.REFUSED)
         if not run.draft.pieces:
-            raise GenerationError("ended without an event", GenerationEnd.BROKEN)
-        run.draft.whole = True
+            raise GenerationError("stream ended without an event", GenerationEnd.BROKEN)
+        run.draft.complete = True
     finally:
-        # The connection must be closed before the item goes on elsewhere.
+        # The connection must be closed before the item is resumed on another engine.
         with suppress(GenerationError, asyncio.CancelledError):
             await stream.aclose()
 
 
 async def _next_piece(stream: AsyncGenerator[Piece, None], wait_s: float) -> Piece | None:
-    """Return the next event, None at the end of the stream.
+    """Return the next event, or None at the end of the stream.
 
-    :raises GenerationError: when none comes in time.
+    :raises GenerationError: when none arrives within ``wait_s``.
     """
     try:
         async with asyncio.timeout(wait_s):
             return await anext(stream, None)
     except TimeoutError as error:
-        detail = f"no event for {wait_s} s; moved"
+        detail = f"no event within {wait_s} s"
         raise GenerationError(detail, GenerationEnd.SILENT) from error
 
 
-def _call_of(run: ItemRun, now_s: float) -> GenerationCall:
+def _make_call(run: ItemRun, now_s: float) -> GenerationCall:
     step, item, route = run.open_item
     left_s = route.retention_s - (now_s - step.folded_at_s)
     return GenerationCall(
@@ -99,24 +102,24 @@
         item.headers,
         item.body,
         run.draft.last_event_id,
-        max(1.0, left_s) if route.retention_s > 0.0 else UNBOUNDED_RUN_S,
+        max(1.0, left_s) if route.retention_s > 0.0 else DEFAULT_RUN_BUDGET_S,
         run.priority,
         step.spec.workspace,
     )
 
 
-def _take_piece(run: ItemRun, piece: Piece) -> None:
-    """Add an event to the draft.
+def _add_piece(run: ItemRun, piece: Piece) -> None:
+    """Append an event to the draft.
 
-    :raises GenerationError: when it does not belong there: made by weights that the step
-        does not allow, or not the next event of the text.
+    :raises GenerationError: when the event was generated by a weight version that the step does
+        not allow, or is not the next event of the text.
     """
     spec, draft = run.open_item.step.spec, run.draft
     if piece.version < spec.min_version:
-        raise GenerationError(f"made by version {piece.version}", GenerationEnd.BROKEN)
+        raise GenerationError(f"weight version {piece.version} is too old", GenerationEnd.BROKEN)
     if not draft.add(piece.event_id, piece.data, piece.version):
-        detail = f"event {piece.event_id} after {draft.last_event_id}"
+        detail = f"unexpected event {piece.event_id} after event {draft.last_event_id}"
         raise GenerationError(detail, GenerationEnd.BROKEN)
     if not draft.fits(spec.min_version, single_version=run.open_item.route.single_version):
         draft.clear()
-        raise GenerationError("a second version", GenerationEnd.BROKEN)
+        raise GenerationError("weight version changed in the text", GenerationEnd.BROKEN)
--- a/samphirecleat/durable/_journal.py
+++ b/samphirecleat/durable/_journal.py
@@ -1,7 +1,7 @@
-"""Saves texts that are being made, so that another node goes on where this one fell.
+"""Saves drafts to the log, so that another node can resume them after a failover.
 
-Only work rests on it: what is lost is made again. So it is a plain topic whose old records
-may vanish, read by nobody until a service gets a new runner.
+Losing records costs only repeated work, so the journal is a plain topic whose old records may be
+dropped. It is read only when a service gets a new runner.
 """
 
 import asyncio
@@ -12,46 +12,46 @@
 import msgspec
 
 from ..observe import Observer
-from ._drafts import Draft, DraftPart, DraftShelf
+from ._drafts import Draft, DraftPart, DraftStore
 from ._ports import AppendOutcome, LogUnavailableError, PlainLog
 from ._records import RecordFormatError, pack, unpack
 
 PROGRESS_TOPIC: Final = "progress"
-# A lost runner costs at most this much of each text, about a dozen events.
-SAVE_EVERY_S: Final = 0.5
-# One record holds parts of about this size; the log takes records of a quarter megabyte.
-RECORD_BYTES: Final = 100_000
-# A new runner does not wait longer than this for what the last one saved.
-RESTORE_WITHIN_S: Final = 1.0
-# Older records are dropped: an item that was begun longer ago is late whatever is kept of
-# it, and a new runner waits for the reading of all that is kept.
-KEEP_S: Final = 9.0
-TRIM_EVERY_S: Final = 3.0
+# The failure of a runner loses at most this much of each text, about a dozen events.
+SAVE_INTERVAL_S: Final = 0.5
+# Approximate size of a record; the log accepts records of up to a quarter megabyte.
+TARGET_RECORD_BYTES: Final = 100_000
+# A new runner waits no longer than this for the journal.
+RESTORE_TIMEOUT_S: Final = 1.0
+# Older records are dropped: an item that started earlier is late even if its draft is restored, and
+# a new runner has to wait until all kept records are read.
+RETENTION_S: Final = 9.0
+TRIM_INTERVAL_S: Final = 3.0
 
 _DECODER: Final = msgspec.msgpack.Decoder(list[DraftPart])
 
 
 class ProgressJournal:
-    """Writes the parts of drafts, and reads those of others."""
+    """Saves parts of drafts, and restores those that earlier runners saved."""
 
     def __init__(self, log: PlainLog, observer: Observer) -> None:
-        """Keep the journal in ``log``."""
+        """Store the journal in ``log``."""
         self._log = log
         self._observer = observer
-        self._words = observer.log("journal")
+        self._logger = observer.log("journal")
         self._saved: deque[tuple[float, int]] = deque()
         self._trimmed_at_s = 0.0
 
-    async def keep(self, drafts: Callable[[], Sequence[Draft]]) -> None:
-        """Save what grew, for as long as the node runs the service."""
+    async def save_periodically(self, drafts: Callable[[], Sequence[Draft]]) -> None:
+        """Save new events and trim old records periodically until cancelled."""
         while True:
-            await asyncio.sleep(SAVE_EVERY_S)
+            await asyncio.sleep(SAVE_INTERVAL_S)
             await self.save(drafts())
             await self._trim()
 
     async def save(self, drafts: Sequence[Draft]) -> None:
-        """Append what was made since the last save; a failure loses only that."""
-        parts = [part for draft in drafts for part in draft.unsaved()]
+        """Append the events since the last save; after a failure they are not saved again."""
+        parts = [part for draft in drafts for part in draft.take_unsaved()]
         if not parts:
             return
         result = await self._log.append_plain(PROGRESS_TOPIC, _pack(parts))
@@ -59,48 +59,48 @@
             self._observer.counters["progress_parts"] += len(parts)
             self._saved.append((asyncio.get_running_loop().time(), result.offset))
         else:
-            self._words.warning("parts=%d not saved: %s", len(parts), result.detail)
+            self._logger.warning("parts=%d not saved: %s", len(parts), result.detail)
 
     async def _trim(self) -> None:
-        """Drop what is too old to be of use, up to the newest of it that this node wrote."""
+        """Drop expired records, up to the newest expired one written by this node."""
         now_s = asyncio.get_running_loop().time()
-        if now_s - self._trimmed_at_s < TRIM_EVERY_S:
+        if now_s - self._trimmed_at_s < TRIM_INTERVAL_S:
             return
         before = -1
-        while self._saved and now_s - self._saved[0][0] > KEEP_S:
+        while self._saved and now_s - self._saved[0][0] > RETENTION_S:
             before = self._saved.popleft()[1]
         if before > 0:
             self._trimmed_at_s = now_s
             await self._log.trim_plain(PROGRESS_TOPIC, before)
 
-    async def restore(self, drafts: DraftShelf) -> None:
-        """Take what earlier runners saved into the drafts."""
+    async def restore(self, drafts: DraftStore) -> None:
+        """Restore drafts from the records of earlier runners; failures are only logged."""
         try:
-            async with asyncio.timeout(RESTORE_WITHIN_S):
+            async with asyncio.timeout(RESTORE_TIMEOUT_S):
                 records = await self._log.read_plain(PROGRESS_TOPIC)
         except (LogUnavailableError, TimeoutError) as error:
-            self._words.warning("nothing restored: %s", error or type(error).__name__)
+            self._logger.warning("drafts not restored: %s", error or type(error).__name__)
             return
         parts: list[DraftPart] = []
         for record in records:
             try:
                 parts.extend(_DECODER.decode(unpack(record)))
             except (msgspec.MsgspecError, RecordFormatError) as error:
-                self._words.error("a record is not understood: %s", error)
-        # All at once: a run's parts lie in many records, and only the whole run tells
-        # whether it made the longer text.
+                self._logger.error("skipped a record that cannot be decoded: %s", error)
+        # Restore everything at once: a run's parts are spread over many records, and only the
+        # joined run shows whether its text is longer.
         used = drafts.restore(parts)
-        self._words.info("records=%d parts=%d runs=%d restored", len(records), len(parts), used)
+        self._logger.info("records=%d parts=%d runs=%d restored", len(records), len(parts), used)
 
 
 def _pack(parts: Sequence[DraftPart]) -> Sequence[bytes]:
-    """Return records that hold the parts, in order, none much over the record size."""
+    """Return records that contain the parts in order, each of about the target size."""
     records: list[bytes] = []
     batch: list[DraftPart] = []
     size_bytes = 0
     for part in parts:
         part_bytes = sum(len(piece) for piece in part.pieces)
-        if batch and size_bytes + part_bytes > RECORD_BYTES:
+        if batch and size_bytes + part_bytes > TARGET_RECORD_BYTES:
             records.append(pack(msgspec.msgpack.encode(batch)))
             batch, size_bytes = [], 0
         batch.append(part)
--- a/samphirecleat/durable/_member_registry.py
+++ b/samphirecleat/durable/_member_registry.py
@@ -1,7 +1,7 @@
-"""Where nodes find each other: one record for each node in the log.
+"""Discovery of nodes through the log, with one record per node.
 
-The seeds of a node's settings may all be stale or down. A node that joined nobody would take
-itself for the whole fleet, offer itself alone to callers, and claim every service.
+All seeds in a node's settings may be outdated or down. A node that finds no other would consider
+itself the whole fleet, advertise only itself to callers, and claim every service.
 """
 
 import asyncio
@@ -15,29 +15,29 @@
 from ._ports import AppendOutcome, KeyedLog, LogEntry
 
 MEMBER_TOPIC: Final = "keyed.members"
-# Nodes come rarely, and a new one makes itself heard to those that it finds here.
+# Long poll of the topic: nodes are added rarely, and a new node contacts those it finds here.
 READ_WAIT_S: Final = 5.0
-RETRY_S: Final = (0.5, 1.5)
+RETRY_INTERVAL_S: Final = (0.5, 1.5)
 
 
 class MemberRegistry:
-    """Writes where this node can be found, and keeps the addresses of the others."""
+    """Publishes this node's peer address and follows the addresses of the others."""
 
     def __init__(
         self, log: KeyedLog, board: Blackboard, observer: Observer, rng: random.Random
     ) -> None:
-        """Keep the board's section of listed nodes."""
+        """Maintain ``listed_nodes`` of ``board``."""
         self._log = log
         self._board = board
-        self._words = observer.log("members")
+        self._logger = observer.log("members")
         self._rng = rng
         self._addresses: dict[str, str] = {}
         self._follower = TopicFollower(
-            log, MEMBER_TOPIC, self._take, observer, rng, read_wait_s=READ_WAIT_S
+            log, MEMBER_TOPIC, self._apply, observer, rng, read_wait_s=READ_WAIT_S
         )
 
     async def run(self) -> None:
-        """Write this node's record once, and follow those of the others."""
+        """Write this node's record once, and follow the records of the others."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._follower.run())
             group.create_task(self._write())
@@ -49,10 +49,10 @@
             result = await self._log.append(MEMBER_TOPIC, [entry])
             if result.outcome is AppendOutcome.APPENDED:
                 return
-            self._words.warning("own record not written: %s", result.detail)
-            await asyncio.sleep(self._rng.uniform(*RETRY_S))
+            self._logger.warning("writing the own record failed: %s", result.detail)
+            await asyncio.sleep(self._rng.uniform(*RETRY_INTERVAL_S))
 
-    def _take(self, entries: Sequence[LogEntry], _past: bool) -> None:
+    def _apply(self, entries: Sequence[LogEntry], _past: bool) -> None:
         for entry in entries:
             self._addresses[entry.key] = entry.value.decode("ascii", "replace")
         own = self._board.identity.node_id
--- a/samphirecleat/durable/_open_item.py
+++ b/samphirecleat/durable/_open_item.py
@@ -1,4 +1,4 @@
-"""An item of an open step together with what decides how it is run."""
+"""An item of an open step with the data that determines how it is run."""
 
 from typing import NamedTuple
 
@@ -9,7 +9,7 @@
 
 
 class OpenItem(NamedTuple):
-    """An item, its step, and the route under which the step was submitted."""
+    """An item, its step, and the route through which the step was submitted."""
 
     step: StepState
     item: ItemSpec
@@ -17,5 +17,5 @@
 
     @property
     def name(self) -> ItemName:
-        """The step's and the item's id."""
+        """The ids of the step and the item."""
         return self.step.spec.step_id, self.item.item_id
--- a/samphirecleat/durable/_paces.py
+++ b/samphirecleat/durable/_paces.py
@@ -1,59 +1,67 @@
-"""What a runner has seen of each engine: how fast it streams, what it made, when it failed."""
+"""Statistics that a runner keeps of each engine: event interval, weight versions, backoff."""
 
 from dataclasses import dataclass, field
 from typing import Final
 
-# Weight of the newest pause between events in an engine's running mean.
-PACE_GAIN: Final = 0.25
-# Before any event was seen: engines of today make one in about 40 ms.
-FIRST_EVENT_GUESS_S: Final = 0.04
+# Weight of the newest interval in an engine's exponentially weighted mean.
+EWMA_WEIGHT: Final = 0.25
+# Assumed before any event was measured; current engines emit one about every 40 ms.
+DEFAULT_EVENT_INTERVAL_S: Final = 0.04
 
 
 @dataclass
-class Pace:
-    """One engine. ``event_s`` is the mean pause between its events, 0.0 before any.
+class EngineStats:
+    """Statistics of one engine.
 
-    ``versions`` are the highest that its streams named, by model.
+    ``event_interval_s`` is the weighted mean time between events, 0.0 before the first interval.
+    ``versions`` holds the highest version in its streams, by model. ``groups`` are those whose
+    items ran on it.
     """
 
-    event_s: float = 0.0
-    rests_until_s: float = 0.0
+    event_interval_s: float = 0.0
+    backoff_until_s: float = 0.0
     versions: dict[str, int] = field(default_factory=dict)
     groups: set[str] = field(default_factory=set)
 
     def note_version(self, model: str, version: int) -> None:
-        """Take the version that made an event."""
+        """Record the version that generated an event."""
         self.versions[model] = max(version, self.versions.get(model, 0))
 
-    def note_pause(self, pause_s: float) -> None:
-        """Take the time between two events of one run."""
-        if self.event_s == 0.0:
-            self.event_s = pause_s
-        self.event_s += PACE_GAIN * (pause_s - self.event_s)
+    def record_event_interval(self, interval_s: float) -> None:
+        """Record the time between two events of one run."""
+        if self.event_interval_s == 0.0:
+            self.event_interval_s = interval_s
+        self.event_interval_s += EWMA_WEIGHT * (interval_s - self.event_interval_s)
 
 
-class PaceTable:
-    """Paces by instance."""
+class EngineStatsTable:
+    """Statistics by instance."""
 
     def __init__(self) -> None:
-        """Start without having seen any engine."""
-        self._paces: dict[str, Pace] = {}
+        """Start without any engine."""
+        self._engine_stats: dict[str, EngineStats] = {}
 
-    def of(self, instance: str) -> Pace:
-        """Return an engine's pace, a new one for an engine not seen yet."""
-        return self._paces.setdefault(instance, Pace())
+    def of(self, instance: str) -> EngineStats:
+        """Return the statistics of an engine, creating empty ones for a new engine."""
+        return self._engine_stats.setdefault(instance, EngineStats())
 
-    def typical_event_s(self) -> float:
-        """Return the median pause between events over the engines."""
-        known = sorted(pace.event_s for pace in self._paces.values() if pace.event_s > 0.0)
-        return known[(len(known) - 1) // 2] if known else FIRST_EVENT_GUESS_S
+    def median_event_interval_s(self) -> float:
+        """Return the median event interval over all measured engines."""
+        known = sorted(
+            stats.event_interval_s
+            for stats in self._engine_stats.values()
+            if stats.event_interval_s > 0.0
+        )
+        return known[(len(known) - 1) // 2] if known else DEFAULT_EVENT_INTERVAL_S
 
-    def slowness(self, instance: str, typical_event_s: float = 0.0) -> float:
-        """Return how much slower than typical an engine is, 1.0 at least.
+    def slowness(self, instance: str, median_event_interval_s: float = 0.0) -> float:
+        """Return the ratio of an engine's event interval to the median, at least 1.0.
 
-        Who asks for many engines at once gives the typical pause, which takes a look at all.
+        Callers that query many engines pass the median, since computing it scans all engines.
         """
-        event_s = self.of(instance).event_s
-        if not event_s:
+        event_interval_s = self.of(instance).event_interval_s
+        if not event_interval_s:
             return 1.0
-        return max(1.0, event_s / (typical_event_s or self.typical_event_s()))
+        return max(
+            1.0, event_interval_s / (median_event_interval_s or self.median_event_interval_s())
+        )
--- a/samphirecleat/durable/_planner.py
+++ b/samphirecleat/durable/_planner.py
@@ -1,11 +1,11 @@
-"""Which item starts next, and on which engine: pure decisions of a service's runner.
-
-Load pattern answered: a step of some hundred items comes at once; lengths vary by a factor
-of ten and are known by a rough hint; engines produce tokens almost as fast with all places
-taken as with one, so a step takes as long as its longest text; the next step comes while
-the longest texts of this one are still being made. Hence what has the least time to spare
-starts first, except the groups that the trainer can do without; items of a group go where
-their shared prompt was read; an engine that turned slow gets what is left.
+"""Placement planning of a service's runner: pure functions that choose which item starts where.
+
+Load pattern: a step of some hundred items arrives at once. Lengths vary by a factor of ten and
+are known only from a rough hint. Engines generate tokens almost as fast with all slots taken as
+with one, so a step takes as long as its longest text, and the next step arrives while those texts
+are still being generated. Therefore items start in order of least slack, except for groups that
+the trainer does not need; items of a group prefer engines that already processed their shared
+prompt; slow engines are used last.
 """
 
 from collections.abc import Mapping, Sequence, Set
@@ -13,31 +13,29 @@
 
 from ..serving import MIDDLE_PRIORITY
 
-# Of what a text is expected to need, this share is planned for: texts grow at the same pace,
-# so the short ones have left before the long ones need their room. An engine that runs out
-# of memory after all holds up its newest run, which costs a few milliseconds of reading.
+# Share of a text's expected growth that is reserved in engine memory. All texts grow at the same
+# speed, so short ones complete before long ones need their full memory. An engine that runs out of
+# memory preempts its newest run, which costs a few milliseconds of reprocessing.
 GROWTH_SHARE: Final = 0.5
-# Engines whose runs differ by less than this count as equally busy.
-NEIGHBOUR_STEP: Final = 2
-# Texts that take longer than this are planned for as long ones.
-LONG_S: Final = 2.0
-# With less time than this to spare an item without a place presses for one: a load takes
-# about a second, and its score a few tenths.
-PRESSED_SPARE_S: Final = 2.5
-# Long texts stay to the end, so most of their growth is planned for.
+# Run counts are compared in steps of this size; engines within one step count as equally busy.
+RUN_COUNT_STEP: Final = 2
+# Texts expected to take longer than this count as long.
+LONG_TEXT_S: Final = 2.0
+# An item without a slot is urgent when its slack is below this: loading weights takes about a
+# second, and scoring a few tenths of a second.
+URGENT_SLACK_S: Final = 2.5
+# Long texts are the last to complete, so most of their growth is reserved.
 LONG_GROWTH_SHARE: Final = 0.8
-
-
-# Each rank of a workspace counts like so much less time to spare: its items start first beside
-# equally urgent ones, and no workspace waits for another for good.
-PRIORITY_S: Final = 0.5
+# Each priority rank of a workspace counts as this much less slack. Its items start before equally
+# urgent ones of lower rank, and no workspace can starve another.
+SLACK_PER_RANK_S: Final = 0.5
 
 
 class PendingItem(NamedTuple):
-    """An item that wants a place, to be listed within ``due_in_s``.
+    """An item that waits for a slot and is due to be listed within ``due_in_s``.
 
-    ``expected_tokens`` is what is still to be made, ``context_tokens`` what its engine
-    reads before that. ``priority`` is that of its workspace, 0 first.
+    ``expected_tokens`` are still to be generated; the engine processes ``context_tokens`` before
+    that. ``priority`` is the rank of its workspace, 0 being the highest.
     """
 
     step_id: str
@@ -53,11 +51,10 @@
 
 
 class EngineView(NamedTuple):
-    """An engine as the runner sees it; ``slowness`` is 1.0 at the typical pace.
-
-    ``warm`` says that a connection to it waits for a run.
+    """An engine as the runner sees it.
 
-    ``versions`` holds each of its models that is not being loaded now.
+    ``slowness`` is relative to the median engine, at least 1.0. ``warm`` tells whether an idle
+    connection to the engine is open. ``versions`` contains the models that are not being loaded.
     """
 
     instance: str
@@ -73,7 +70,7 @@
 
 
 class Placement(NamedTuple):
-    """An item, the engine it goes to, and how much of its memory the item is planned to take."""
+    """An item, its engine, and the engine memory reserved for it in tokens."""
 
     item: PendingItem
     instance: str
@@ -83,11 +80,11 @@
 def order_items(
     items: Sequence[PendingItem], wanted_share: Mapping[str, float], token_s: float
 ) -> Sequence[PendingItem]:
-    """Return the items in the order in which they start, least time to spare first.
+    """Return the items in start order, least slack first.
 
-    A text takes ``token_s`` a token. ``wanted_share`` is the share of its groups that a
-    step's trainer waits for: the longest of the others start last. Groups that were
-    carried over are among those it waits for.
+    ``token_s`` is the generation time of a token. ``wanted_share`` gives, by step, the share of
+    groups that the trainer waits for; the longest groups beyond that share start last. Groups
+    carried over from an earlier step are always waited for.
     """
     longest: dict[tuple[str, str], int] = {}
     carried: set[tuple[str, str]] = set()
@@ -96,37 +93,37 @@
         longest[name] = max(longest.get(name, 0), item.expected_tokens)
         if item.carried:
             carried.add(name)
-    spare = _spare_groups(longest, carried, wanted_share)
+    optional = _optional_groups(longest, carried, wanted_share)
 
     def rank(item: PendingItem) -> tuple[bool, float]:
         slack_s = item.due_in_s - item.expected_tokens * token_s
-        ranked_s = slack_s + (item.priority - MIDDLE_PRIORITY) * PRIORITY_S
-        return ((item.step_id, item.group) in spare, ranked_s)
+        ranked_s = slack_s + (item.priority - MIDDLE_PRIORITY) * SLACK_PER_RANK_S
+        return ((item.step_id, item.group) in optional, ranked_s)
 
     return sorted(items, key=rank)
 
 
-def _spare_groups(
+def _optional_groups(
     longest: Mapping[tuple[str, str], int],
     carried: set[tuple[str, str]],
     wanted_share: Mapping[str, float],
 ) -> set[tuple[str, str]]:
-    spare: set[tuple[str, str]] = set()
+    optional: set[tuple[str, str]] = set()
     for step_id, share in wanted_share.items():
         groups = sorted(
             (name for name in longest if name[0] == step_id and name not in carried),
             key=lambda name: longest[name],
             reverse=True,
         )
-        spare.update(groups[: int(len(groups) * (1.0 - share))])
-    return spare
+        optional.update(groups[: int(len(groups) * (1.0 - share))])
+    return optional
 
 
 def place_items(
     ordered: Sequence[PendingItem], engines: Sequence[EngineView], token_s: float
 ) -> Sequence[Placement]:
-    """Return what starts now, in order; an item without a place waits."""
-    long_tokens = int(LONG_S / token_s)
+    """Return the placements to start now, in order; items without a slot keep waiting."""
+    long_tokens = int(LONG_TEXT_S / token_s)
     placements: list[Placement] = []
     views = {engine.instance: engine for engine in engines if engine.accepts}
     if not any(engine.running < engine.slots for engine in views.values()):
@@ -156,12 +153,12 @@
         return None
 
     def cost(engine: EngineView) -> tuple[int, int, bool, bool]:
-        # Pace first, in coarse steps. Then few neighbours, since each slows the others down a
-        # little; then a kept connection, since with more engines than runs each run would open
-        # a new one; then a prompt that was read there, which saves a millisecond.
+        # Speed first, in coarse steps. Then few concurrent runs, since each slows the others a
+        # little. Then an idle connection, since with more engines than runs every run would open
+        # a new one. Then an already processed prompt, which saves a millisecond.
         return (
             round(engine.slowness * 2.0),
-            engine.running // NEIGHBOUR_STEP,
+            engine.running // RUN_COUNT_STEP,
             not engine.warm,
             item.group not in engine.groups,
         )
@@ -178,26 +175,26 @@
 
 
 def planned_tokens(item: PendingItem, *, is_long: bool) -> int:
-    """Return how much of an engine's memory an item is planned to take."""
+    """Return how much engine memory to reserve for an item, in tokens."""
     share = LONG_GROWTH_SHARE if is_long else GROWTH_SHARE
     return item.context_tokens + int(item.expected_tokens * share)
 
 
 class Shortage(NamedTuple):
-    """That items of a model found no place; ``spare_s`` is what the most urgent has left."""
+    """Items of a model found no slot; ``slack_s`` is the smallest slack among them."""
 
     slack_s: float
 
     @property
     def urgent(self) -> bool:
-        """Whether the item will be late unless it starts soon."""
-        return self.slack_s < PRESSED_SPARE_S
+        """Whether an item will miss its deadline unless it starts soon."""
+        return self.slack_s < URGENT_SLACK_S
 
 
 def shortages(
     ordered: Sequence[PendingItem], placements: Sequence[Placement], token_s: float
 ) -> Mapping[str, Shortage]:
-    """Return the models of which an item found no place."""
+    """Return, by model, the shortage of items that were not placed."""
     placed = {(place.item.step_id, place.item.item_id) for place in placements}
     short: dict[str, Shortage] = {}
     for item in ordered:
--- a/samphirecleat/durable/_run_pool.py
+++ b/samphirecleat/durable/_run_pool.py
@@ -1,14 +1,14 @@
-"""The runs of a service's items on its engines, and what is learned from how they end."""
+"""Runs of a service's items on its engines, and the backoff after failed runs."""
 
 import asyncio
 from collections.abc import Collection
 
 from ..crashes import CrashGuard
 from ..observe import Observer
-from ._drafts import DraftShelf
+from ._drafts import DraftStore
 from ._finisher import Finisher
-from ._item_bound import ItemBound
-from ._item_decisions import ItemName, after_failed_run
+from ._item_bound import CrashBackoff
+from ._item_decisions import ItemName, failure_response
 from ._item_run import ItemRun, stream_item
 from ._open_item import OpenItem
 from ._planner import Placement
@@ -17,45 +17,47 @@
 
 
 class RunPool:
-    """Starts, moves and ends runs; writes the runs and paces of the service's work."""
+    """Starts, moves and cancels runs; owns ``runs`` and ``engine_stats`` of the service's work."""
 
     def __init__(
         self,
         work: ServiceWork,
-        drafts: DraftShelf,
+        drafts: DraftStore,
         engines: GenerationChannel,
         finisher: Finisher,
         observer: Observer,
         guard: CrashGuard | None = None,
     ) -> None:
-        """Stream from ``engines`` into ``drafts``; whole texts go to ``finisher``.
+        """Stream from ``engines`` into ``drafts``; complete texts go to ``finisher``.
 
-        Items that end their engines are known by ``guard``.
+        ``guard`` collects evidence of items that crash engines.
         """
         self._work = work
         self._drafts = drafts
         self._engines = engines
         self._finisher = finisher
         self._observer = observer
-        self._words = observer.log("runner")
-        self._rests_until_s: dict[ItemName, float] = {}
+        self._logger = observer.log("runner")
+        self._backoff_until_s: dict[ItemName, float] = {}
         self._failures: dict[ItemName, int] = {}
-        self._bound = ItemBound(guard)
+        self._crash_backoff = CrashBackoff(guard)
 
-    def rests(self, name: ItemName, now_s: float) -> bool:
-        """Whether an item waits after a failed run."""
-        return self._rests_until_s.get(name, 0.0) > now_s or self._bound.rests(name, now_s)
+    def is_backing_off(self, name: ItemName, now_s: float) -> bool:
+        """Return whether an item is still backing off after a failed run."""
+        return self._backoff_until_s.get(name, 0.0) > now_s or self._crash_backoff.is_backing_off(
+            name, now_s
+        )
 
-    def start(self, open_item: OpenItem, place: Placement) -> None:
-        """Start an item on the engine that was chosen for it."""
-        target = self._work.targets.targets[place.instance]
-        plan = place.item
+    def start(self, open_item: OpenItem, placement: Placement) -> None:
+        """Start an item on the engine of its placement."""
+        target = self._work.targets.targets[placement.instance]
+        plan = placement.item
         item, step = open_item.item, open_item.step
         draft = self._drafts.get(item.item_id)
-        run = ItemRun(open_item, target, draft, place.planned_tokens, plan.priority)
-        self._work.paces.of(target.instance).groups.add(item.group)
+        run = ItemRun(open_item, target, draft, placement.planned_tokens, plan.priority)
+        self._work.engine_stats.of(target.instance).groups.add(item.group)
         self._work.runs[run.name] = run
-        self._words.info(
+        self._logger.info(
             "item=%s step=%s target=%s from_event=%d expected_tokens=%d version=%d",
             item.item_id,
             step.spec.step_id,
@@ -67,22 +69,22 @@
         run.task = asyncio.ensure_future(self._run(run))
 
     def move(self, name: ItemName) -> None:
-        """Have a run end at its next event, so that it goes on at another engine."""
-        self._work.runs[name].move = True
+        """Request that a run ends at its next event, to be resumed on another engine."""
+        self._work.runs[name].move_requested = True
 
     def keep_only(self, wanted_steps: Collection[str]) -> None:
-        """Cancel the runs that no open step wants, and forget what was noted of the others."""
-        self._bound.keep_only(wanted_steps)
+        """Cancel runs of other steps and of listed items; drop failure records of other steps."""
+        self._crash_backoff.keep_only(wanted_steps)
         for (step_id, item_id), run in list(self._work.runs.items()):
             listed = item_id not in run.open_item.step.unlisted
             if (step_id not in wanted_steps or listed) and run.task is not None:
                 run.task.cancel()
-        for noted in (self._failures, self._rests_until_s):
+        for noted in (self._failures, self._backoff_until_s):
             for name in [name for name in noted if name[0] not in wanted_steps]:
                 del noted[name]
 
     def close(self) -> None:
-        """Cancel every run; their drafts stay."""
+        """Cancel every run; the drafts are kept."""
         for run in list(self._work.runs.values()):
             if run.task is not None:
                 run.task.cancel()
@@ -93,23 +95,23 @@
         self._work.targets.warm.taken(run.target)
         began_s = loop.time()
         try:
-            await stream_item(run, self._engines, self._work.paces.of(run.target.instance))
+            await stream_item(run, self._engines, self._work.engine_stats.of(run.target.instance))
         except GenerationError as error:
             self._note_failure(run, error)
-            await self._bound.cut(run, began_s, error, loop.time())
+            await self._crash_backoff.record_cut(run, began_s, error, loop.time())
         except asyncio.CancelledError:
-            self._words.info("item=%s run cancelled", run.open_item.item.item_id)
+            self._logger.info("item=%s run cancelled", run.open_item.item.item_id)
             raise
         finally:
             self._work.targets.ended(run.target)
             self._work.runs.pop(run.name, None)
             self._work.changed.set()
-        if run.draft.whole:
-            self._bound.whole(run)
+        if run.draft.complete:
+            self._crash_backoff.record_completion(run)
             self._work.targets.warm.returned(run.target, loop.time())
-        if run.draft.whole and not self._work.is_under_way(run.name):
+        if run.draft.complete and not self._work.is_under_way(run.name):
             self._observer.record_s("item_run", loop.time() - began_s)
-            self._words.info(
+            self._logger.info(
                 "item=%s whole events=%d target=%s",
                 run.open_item.item.item_id,
                 run.draft.last_event_id,
@@ -119,7 +121,7 @@
 
     def _note_failure(self, run: ItemRun, error: GenerationError) -> None:
         now_s = asyncio.get_running_loop().time()
-        self._words.warning(
+        self._logger.warning(
             "item=%s target=%s ended=%s at_event=%d detail=%s",
             run.open_item.item.item_id,
             run.target.instance,
@@ -129,10 +131,10 @@
         )
         failures = self._failures.get(run.name, 0) + (error.reason is GenerationEnd.FAILED)
         self._failures[run.name] = failures
-        aftermath = after_failed_run(error.reason, failures, run.open_item.route.max_attempts)
-        self._rests_until_s[run.name] = now_s + aftermath.item_rest_s
-        if aftermath.engine_rest_s > 0.0:
-            pace = self._work.paces.of(run.target.instance)
-            pace.rests_until_s = now_s + aftermath.engine_rest_s
-        if aftermath.item_dead:
+        response = failure_response(error.reason, failures, run.open_item.route.max_attempts)
+        self._backoff_until_s[run.name] = now_s + response.item_backoff_s
+        if response.engine_backoff_s > 0.0:
+            stats = self._work.engine_stats.of(run.target.instance)
+            stats.backoff_until_s = now_s + response.engine_backoff_s
+        if response.give_up_item:
             self._finisher.give_up(run.open_item)
--- a/samphirecleat/durable/_runner.py
+++ b/samphirecleat/durable/_runner.py
@@ -1,4 +1,4 @@
-"""Plans a service's items over its engines, again and again, and has the plan carried out."""
+"""Scheduling loop of one service: assigns the items of its open steps to its engines."""
 
 import asyncio
 import math
@@ -6,15 +6,15 @@
 from typing import Final
 
 from ..observe import Observer
-from ._drafts import Draft, DraftShelf
+from ._drafts import Draft, DraftStore
 from ._finisher import Finisher
 from ._item_decisions import (
+    ItemAction,
     ItemName,
-    ItemStanding,
-    NextStep,
+    ItemStatus,
     RunView,
-    expected_rest_events,
-    next_step,
+    expected_remaining_events,
+    next_action,
     runs_to_move,
 )
 from ._item_loader import ItemLoader
@@ -24,42 +24,46 @@
 from ._run_pool import RunPool
 from ._service_work import ServiceWork
 
-# Without news the plan is made anew this often: targets and versions change on their own.
-PLAN_EVERY_S: Final = 0.05
-# Between two plans: texts end by the dozen, and one plan places all that came meanwhile. Of the
-# time, planning takes a quarter at most, since the events of all runs need the same processor.
-PLAN_GAP_S: Final = 0.005
-PLAN_REST: Final = 3.0
-# An engine that takes no new work serves on for about this long; a spot target no longer.
-LEAVES_IN_S: Final = 2.0
-# Runs are looked through this often for ones that should move: about the time of two events.
-MOVE_EVERY_S: Final = 0.1
-# A text's expected rest is never taken for less than one event of today's engines.
-LEAST_EXPECTED_TOKENS: Final = 64
+# Longest time between two plans without a notification: targets and their versions change without
+# one.
+MAX_PLAN_INTERVAL_S: Final = 0.05
+# Shortest pause between two plans: texts complete in batches of a dozen, and one plan can handle
+# the whole batch.
+MIN_PLAN_INTERVAL_S: Final = 0.005
+# The pause is at least this many times the planning time, so that planning takes no more than a
+# quarter of the processor, which also handles the events of all runs.
+PLAN_IDLE_RATIO: Final = 3.0
+# An engine that stopped accepting work serves its runs for about this long; spot targets have no
+# more time than that.
+LEAVING_ENGINE_REMAINING_S: Final = 2.0
+# Interval of the check for runs to move, about the time of two events.
+MOVE_CHECK_INTERVAL_S: Final = 0.1
+# Lower bound for the expected remaining length of a text: about one event of current engines.
+MIN_EXPECTED_TOKENS: Final = 64
 
 
 class StepRunner:
-    """The work of one service, at the node that runs it."""
+    """Schedules the items of one service on the node that holds the service's duty."""
 
     def __init__(
         self,
         work: ServiceWork,
-        drafts: DraftShelf,
+        drafts: DraftStore,
         runs: RunPool,
         finisher: Finisher,
         observer: Observer,
     ) -> None:
-        """Plan ``work``; ``drafts`` outlives the runner."""
+        """Schedule ``work``; ``drafts`` is shared and outlives the runner."""
         self._work = work
         self._drafts = drafts
         self._runs = runs
         self._finisher = finisher
         self._items = ItemLoader(work, observer)
         self._observer = observer
-        self._moves_at_s = 0.0
+        self._next_move_check_s = 0.0
 
     async def run(self) -> None:
-        """Plan for as long as the node runs the service; cancels its runs at the end."""
+        """Plan until cancelled; cancels all runs, scores and reads on exit."""
         loop = asyncio.get_running_loop()
         try:
             while True:
@@ -68,21 +72,21 @@
                 self.plan()
                 took_s = loop.time() - began_s
                 self._observer.record_s("plan", took_s)
-                await asyncio.sleep(max(PLAN_GAP_S, PLAN_REST * took_s))
-                await self._wait_for_news()
+                await asyncio.sleep(max(MIN_PLAN_INTERVAL_S, PLAN_IDLE_RATIO * took_s))
+                await self._wait_for_change()
         finally:
             self._runs.close()
             self._finisher.close()
             self._items.close()
 
     def open_drafts(self) -> Sequence[Draft]:
-        """Return the drafts of all runs and of texts that wait for their score."""
+        """Return the drafts of all current runs and of texts that are being scored."""
         names = [*self._work.runs, *self._work.scoring]
-        drafts = [self._drafts.known(item_id) for _step_id, item_id in names]
+        drafts = [self._drafts.find(item_id) for _step_id, item_id in names]
         return [draft for draft in drafts if draft is not None]
 
     def plan(self) -> None:
-        """Decide for every item once, and start what has a place."""
+        """Decide once for every item, and start the items that get a slot."""
         now_s = asyncio.get_running_loop().time()
         steps = self._work.open_steps()
         wanted = {step.spec.step_id for step, _route in steps}
@@ -92,51 +96,51 @@
         by_name: dict[ItemName, OpenItem] = {}
         for step, route in steps:
             if not step.items:
-                self._items.want(step)
+                self._items.request(step)
                 continue
             for item_id in list(step.unlisted):
                 name = (step.spec.step_id, item_id)
                 if self._work.is_under_way(name):
                     continue
                 open_item = OpenItem(step, step.items[item_id], route)
-                if self._wants_place(open_item, now_s):
+                if self._needs_slot(open_item, now_s):
                     by_name[name] = open_item
-                    pending.append(self._pending(open_item, now_s))
+                    pending.append(self._pending_item(open_item, now_s))
         if pending:
-            self._place(pending, by_name, now_s)
+            self._place_items(pending, by_name, now_s)
         else:
-            self._work.short = {}
-        if not self._work.short:
+            self._work.shortages = {}
+        if not self._work.shortages:
             self._move_runs(now_s)
 
-    def _wants_place(self, open_item: OpenItem, now_s: float) -> bool:
-        """Do what an item needs next; True if that is a place at an engine."""
+    def _needs_slot(self, open_item: OpenItem, now_s: float) -> bool:
+        """Perform an item's next action; return whether the item needs an engine slot."""
         step, item, route = open_item
         draft = self._drafts.get(item.item_id)
         fits = draft.fits(step.spec.min_version, single_version=route.single_version)
-        standing = ItemStanding(
+        standing = ItemStatus(
             now_s - step.folded_at_s,
             route.retention_s,
-            self._runs.rests(open_item.name, now_s),
+            self._runs.is_backing_off(open_item.name, now_s),
             fits,
-            draft.whole,
+            draft.complete,
         )
-        match next_step(standing):
-            case NextStep.GIVE_UP:
+        match next_action(standing):
+            case ItemAction.GIVE_UP:
                 self._finisher.give_up(open_item)
                 return False
-            case NextStep.REST:
+            case ItemAction.BACK_OFF:
                 return False
-            case NextStep.SCORE:
+            case ItemAction.SCORE:
                 self._finisher.score(open_item, draft)
                 return False
-            case NextStep.MAKE_ANEW:
+            case ItemAction.REGENERATE:
                 draft.clear()
                 return True
-            case NextStep.MAKE:
+            case ItemAction.GENERATE:
                 return True
 
-    def _pending(self, open_item: OpenItem, now_s: float) -> PendingItem:
+    def _pending_item(self, open_item: OpenItem, now_s: float) -> PendingItem:
         step, item, route = open_item
         made = self._drafts.get(item.item_id).last_event_id * self._work.view.tokens_per_event
         return PendingItem(
@@ -145,39 +149,40 @@
             item.group,
             step.folded_at_s + route.result_deadline_s - now_s,
             item.item_id in step.carried,
-            max(LEAST_EXPECTED_TOKENS, item.expected_tokens - made),
+            max(MIN_EXPECTED_TOKENS, item.expected_tokens - made),
             item.prompt_tokens + made,
             step.spec.min_version,
             step.spec.model,
             self._work.priority_of(step),
         )
 
-    def _place(
+    def _place_items(
         self,
         pending: Sequence[PendingItem],
         by_name: Mapping[ItemName, OpenItem],
         now_s: float,
     ) -> None:
-        """Start what finds a place, and note for the loads of weights what found none."""
+        """Start the items that get a slot; record the others as shortages for weight loading."""
         shares = {
-            open_item.step.spec.step_id: _wanted_share(open_item) for open_item in by_name.values()
+            open_item.step.spec.step_id: _wanted_group_share(open_item)
+            for open_item in by_name.values()
         }
         token_s = self._work.token_s()
         ordered = order_items(pending, shares, token_s)
         placements = place_items(ordered, self._work.engine_views(now_s), token_s)
-        self._work.short = shortages(ordered, placements, token_s)
+        self._work.shortages = shortages(ordered, placements, token_s)
         for placement in placements:
             name = (placement.item.step_id, placement.item.item_id)
             self._runs.start(by_name[name], placement)
 
     def _move_runs(self, now_s: float) -> None:
-        """Move runs to better engines; while items wait for places, those come first."""
-        if now_s < self._moves_at_s:
+        """Move runs to faster engines; only called while no item waits for a slot."""
+        if now_s < self._next_move_check_s:
             return
-        self._moves_at_s = now_s + MOVE_EVERY_S
+        self._next_move_check_s = now_s + MOVE_CHECK_INTERVAL_S
         engines = self._work.engine_views(now_s)
         slowness = {engine.instance: engine.slowness for engine in engines}
-        event_s = self._work.paces.typical_event_s()
+        event_s = self._work.engine_stats.median_event_interval_s()
         runs = [self._run_view(run, slowness, event_s, now_s) for run in self._work.runs.values()]
         for name in runs_to_move(runs, engines):
             self._runs.move(name)
@@ -187,7 +192,7 @@
     ) -> RunView:
         step, item, route = run.open_item
         tokens_per_event = self._work.view.tokens_per_event
-        rest_events = expected_rest_events(
+        remaining_events = expected_remaining_events(
             run.draft.last_event_id,
             item.hinted_tokens // tokens_per_event,
             item.most_tokens // tokens_per_event,
@@ -197,28 +202,30 @@
             run.name,
             slowness.get(instance, 1.0),
             run.events,
-            run.move,
-            rest_events * event_s,
+            run.move_requested,
+            remaining_events * event_s,
             step.folded_at_s + route.result_deadline_s - now_s,
-            math.inf if instance in slowness else LEAVES_IN_S,
+            math.inf if instance in slowness else LEAVING_ENGINE_REMAINING_S,
             step.spec.model,
             step.spec.min_version,
         )
 
-    async def _wait_for_news(self) -> None:
-        """Wait until a run ended, a version came or the step log changed, a moment at most."""
+    async def _wait_for_change(self) -> None:
+        """Wait for a run to end, a new version or a step log change, or the plan interval."""
         waits = [
             asyncio.ensure_future(self._work.changed.wait()),
-            asyncio.ensure_future(self._work.step_log.wait_change(PLAN_EVERY_S)),
+            asyncio.ensure_future(self._work.step_log.wait_change(MAX_PLAN_INTERVAL_S)),
         ]
         try:
-            await asyncio.wait(waits, timeout=PLAN_EVERY_S, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                waits, timeout=MAX_PLAN_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED
+            )
         finally:
             for wait in waits:
                 wait.cancel()
 
 
-def _wanted_share(open_item: OpenItem) -> float:
-    """Return the share of its groups that a step's trainer waits for."""
+def _wanted_group_share(open_item: OpenItem) -> float:
+    """Return the share of a step's groups that its trainer waits for."""
     step = open_item.step
     return min(1.0, step.spec.target_groups / max(1, step.group_count))
--- a/samphirecleat/durable/_scorer.py
+++ b/samphirecleat/durable/_scorer.py
@@ -1,9 +1,8 @@
-"""Has whole texts scored: calls to the scoring services, beside callers' calls.
+"""Scores complete texts by calling the scoring services, which also serve callers.
 
-Load pattern answered: the short texts of a step end within the same second, so their calls
-come all at once, at targets that serve callers too. A bound on the calls under way leaves
-places for callers, and since a score is awaited by a trainer and not by a person, a call
-waits for its place.
+Load pattern: the short texts of a step complete within the same second, so their reward calls
+arrive all at once at targets that serve callers too. A limit on concurrent reward calls leaves
+slots for callers. Reward calls queue for a slot, because a trainer waits for them and not a person.
 """
 
 import asyncio
@@ -14,18 +13,18 @@
 from ..serving import Call, Forwarder, Route, RouteTable, TargetTable
 from ._records import ItemSpec, RewardSpec
 
-# A reward call: its own deadline, and the pause between tries.
+# Deadline of one reward call, and the delay before the next attempt.
 REWARD_BUDGET_S: Final = 2.5
-REWARD_RETRY_S: Final = 0.1
-# Targets that one try may be sent to: a slow one must not hold up a step's last item, and a third
-# one is for routes that allow it.
-LEAST_ATTEMPTS: Final = 2
-MOST_ATTEMPTS: Final = 3
-# A trainer waits for a score, not a person, and a second attempt that is not needed costs the first
-# one's connection: it starts this much later than it would for a caller.
-PATIENCE: Final = 1.6
-# Of a service's places, what rewards may take; the rest is for callers.
-REWARD_SHARE: Final = 0.7
+REWARD_RETRY_INTERVAL_S: Final = 0.1
+# Bounds for the targets tried per reward call. At least two, so that a slow target does not delay a
+# step's last item; a third only if the route allows it.
+MIN_ATTEMPTS: Final = 2
+MAX_ATTEMPTS: Final = 3
+# Factor on the route's latency objective, which delays the second attempt. A trainer can wait
+# longer than a caller, and an unnecessary second attempt costs the first one's connection.
+HEDGE_DELAY_FACTOR: Final = 1.6
+# Share of a service's slots that reward calls may use; the rest is left for callers.
+REWARD_SLOT_SHARE: Final = 0.7
 FAILED_STATUS: Final = 500
 
 
@@ -39,19 +38,19 @@
         forwarder: Forwarder,
         observer: Observer,
     ) -> None:
-        """Send calls with ``forwarder``."""
+        """Send calls through ``forwarder``."""
         self._routes = routes
         self._targets = targets
         self._forwarder = forwarder
         self._observer = observer
-        self._words = observer.log("scorer")
-        self._places: dict[str, tuple[int, asyncio.Semaphore]] = {}
+        self._logger = observer.log("scorer")
+        self._semaphores: dict[str, tuple[int, asyncio.Semaphore]] = {}
 
     async def score(self, item: ItemSpec, item_route: Route) -> str:
-        """Return the signature of the item's reward call.
+        """Return the signature of the item's reward call, "" for an item without a reward.
 
-        An empty text says that it failed as often as either route allows; any other
-        outcome is tried again, for as long as the caller waits.
+        Also returns "" after the call failed as often as the more permissive of the two routes
+        allows. Any other outcome is retried until the caller cancels.
         """
         reward = item.reward
         if reward is None:
@@ -60,22 +59,22 @@
         while True:
             route = self._routes.find(reward.host, reward.raw_path)
             if route is None:
-                await asyncio.sleep(REWARD_RETRY_S)
+                await asyncio.sleep(REWARD_RETRY_INTERVAL_S)
                 continue
             if failures >= max(item_route.max_attempts, route.max_attempts):
-                self._words.warning("item=%s reward failed %d times", item.item_id, failures)
+                self._logger.warning("item=%s reward failed %d times", item.item_id, failures)
                 return ""
-            async with self._place(route):
-                status, signature = await self._try(item, reward, route)
+            async with self._semaphore(route):
+                status, signature = await self._attempt(item, reward, route)
             if signature:
                 return signature
             if status == FAILED_STATUS:
                 failures += 1
             else:
-                await asyncio.sleep(REWARD_RETRY_S)
+                await asyncio.sleep(REWARD_RETRY_INTERVAL_S)
 
-    async def _try(self, item: ItemSpec, reward: RewardSpec, route: Route) -> tuple[int, str]:
-        """Return the status of one call, 0 for none, and the signature of a success."""
+    async def _attempt(self, item: ItemSpec, reward: RewardSpec, route: Route) -> tuple[int, str]:
+        """Return the status of one call, 0 without an answer, and the signature of a success."""
         began_s = asyncio.get_running_loop().time()
         call = Call(
             reward.request_id,
@@ -87,14 +86,16 @@
             began_s,
             began_s + REWARD_BUDGET_S,
         )
-        attempts = max(LEAST_ATTEMPTS, min(MOST_ATTEMPTS, route.max_attempts))
+        attempts = max(MIN_ATTEMPTS, min(MAX_ATTEMPTS, route.max_attempts))
         try:
             answer = await self._forwarder.forward(
                 call,
-                route._replace(max_attempts=attempts, objective_s=route.objective_s * PATIENCE),
+                route._replace(
+                    max_attempts=attempts, objective_s=route.objective_s * HEDGE_DELAY_FACTOR
+                ),
             )
         except RequestError as error:
-            self._words.warning(
+            self._logger.warning(
                 "item=%s reward=%s got no answer: %s",
                 item.item_id,
                 reward.request_id,
@@ -106,12 +107,12 @@
         self._observer.record_s("reward_call", asyncio.get_running_loop().time() - began_s)
         return answer.status, answer.signature
 
-    def _place(self, route: Route) -> asyncio.Semaphore:
-        """Return the bound on calls to a route's service, which follows its targets."""
+    def _semaphore(self, route: Route) -> asyncio.Semaphore:
+        """Return the call limit of a route's service, sized by its current target slots."""
         service = route.services[0].service
         slots = sum(target.slots for target in self._targets.serving(service))
-        known = self._places.get(service)
+        known = self._semaphores.get(service)
         if known is None or known[0] != slots:
-            bound = asyncio.Semaphore(max(1, int(slots * REWARD_SHARE)))
-            known = self._places[service] = (slots, bound)
+            bound = asyncio.Semaphore(max(1, int(slots * REWARD_SLOT_SHARE)))
+            known = self._semaphores[service] = (slots, bound)
         return known[1]
--- a/samphirecleat/durable/_server_plan.py
+++ b/samphirecleat/durable/_server_plan.py
@@ -1,12 +1,12 @@
-"""How many spot targets of a service to order in each availability zone: a pure decision.
+"""Pure planning of the number of spot targets of a service per availability zone.
 
-Load pattern answered: steps of several trainers come in waves that fill every place for a second
-or two; what starts a second late in a wave is late at its end. Between waves most places are free,
-but a target takes seconds to boot, so what a wave needs must stand before it comes. The peak moves
-with the trainers, so the largest of the last waves is what the next one is planned for.
+Load pattern: the steps of several trainers arrive in waves that fill every slot for a second or
+two, and an item that starts a second late ends late. Between waves most slots are free, but a
+target takes seconds to boot, so capacity must be ready before the wave arrives. Peaks shift with
+the trainers, so the largest recent wave determines the plan.
 
-Ordinary targets stay as the operator has them: whole steps depend on them, and a spot target costs
-a fraction. Spot targets of a zone may all go at once, so they are spread over the zones.
+The number of ordinary targets is left to the operator: steps depend on them, and spot targets cost
+a fraction. All spot targets of a zone may be reclaimed at once, so they are spread over the zones.
 """
 
 from collections.abc import Mapping, Sequence
@@ -14,53 +14,53 @@
 
 from ..serving import ScalingSpec
 
-# Places wanted for each item of the largest wave. While versions are loaded, engines take no new
-# item of the model, and the longest texts should find an engine of the better pace.
-PLACES_PER_ITEM: Final = 1.25
-# Spot targets may cost this part of what the ordinary ones cost: beyond it a service is short of
-# ordinary targets, which is the operator's to decide.
-COST_SHARE: Final = 0.25
+# Slots planned for each item of the largest wave. The margin covers engines that accept no items
+# while they load weights, and leaves faster engines for the longest texts.
+SLOTS_PER_ITEM: Final = 1.25
+# Limit for the cost of spot targets, as a share of the cost of the ordinary ones. A service that
+# needs more lacks ordinary targets, which is for the operator to decide.
+MAX_COST_SHARE: Final = 0.25
 
 
 class ZoneCapacity(NamedTuple):
-    """The targets of a service that an availability zone has now.
+    """The current targets of a service in an availability zone.
 
-    A ``dry`` zone has just had none to give.
+    An ``exhausted`` zone recently had no spot capacity to provide.
     """
 
     zone: str
     ordinary: int
     spot: int
-    dry: bool = False
+    exhausted: bool = False
 
 
-def targets_for_wave(items: int, places: int) -> int:
-    """Return how many targets of so many places a wave of so many items wants."""
-    return -(-int(items * PLACES_PER_ITEM) // max(1, places))
+def targets_for_wave(items: int, slots: int) -> int:
+    """Return how many targets with ``slots`` slots a wave of ``items`` items needs."""
+    return -(-int(items * SLOTS_PER_ITEM) // max(1, slots))
 
 
 def plan_spot_targets(
     zones: Sequence[ZoneCapacity], wanted_servers: int, scaling: ScalingSpec
 ) -> Mapping[str, int]:
-    """Return how many spot targets each zone should have, for zones with a price.
+    """Return how many spot targets each zone should have, for all zones with a price.
 
-    The sum covers what ``wanted_servers`` lacks beside the ordinary ones, within the bounds of
-    each zone and of cost. Zones are filled evenly, cheaper ones first; a dry zone keeps what it
-    has.
+    In total they fill the gap between the ordinary targets and ``wanted_servers``, within the limit
+    of each zone and the cost limit. Zones are filled evenly, cheaper ones first. An exhausted zone
+    keeps its current number. Empty if spot targets are not offered or not cheaper.
     """
     priced = [zone for zone in zones if zone.zone in scaling.zone_prices]
-    plan = {zone.zone: zone.spot if zone.dry else 0 for zone in priced}
+    plan = {zone.zone: zone.spot if zone.exhausted else 0 for zone in priced}
     if not 0.0 < scaling.spot_price < 1.0:
         return {}
     prices = scaling.zone_prices
-    budget = COST_SHARE * sum(zone.ordinary * prices[zone.zone] for zone in priced)
+    budget = MAX_COST_SHARE * sum(zone.ordinary * prices[zone.zone] for zone in priced)
     budget -= sum(plan[name] * prices[name] * scaling.spot_price for name in plan)
     lacking = wanted_servers - sum(zone.ordinary for zone in zones) - sum(plan.values())
     while lacking > 0:
         open_zones = [
             zone
             for zone in priced
-            if not zone.dry
+            if not zone.exhausted
             and zone.ordinary + plan[zone.zone] < scaling.maximum
             and prices[zone.zone] * scaling.spot_price <= budget
         ]
--- a/samphirecleat/durable/_service_duty.py
+++ b/samphirecleat/durable/_service_duty.py
@@ -1,4 +1,4 @@
-"""The duty of running one service's steps and ordering its engines' weights: its parts, wired."""
+"""The duty of one service: runs its steps and orders weights and targets."""
 
 from collections.abc import Callable, Mapping
 from typing import Final, Literal, NamedTuple
@@ -6,7 +6,7 @@
 from ..crashes import CrashGuard
 from ..observe import Observer
 from ..serving import RouteTable, TargetTable
-from ._drafts import DraftShelf
+from ._drafts import DraftStore
 from ._duty import Duty, DutyFactory, Holder
 from ._duty_tasks import DutyTasks
 from ._finisher import Finisher
@@ -23,18 +23,18 @@
 
 
 class TargetProvisioning(NamedTuple):
-    """Where a service's targets are ordered; ``sees_targets`` says if they are all known now."""
+    """Where targets are ordered; ``sees_targets`` tells whether all targets are known now."""
 
     channel: ScaleChannel
     sees_targets: Callable[[], bool]
 
 
 NO_PROVISIONING: Final[Literal["no supply"]] = "no supply"
-"""Stands for a platform that takes no orders of targets."""
+"""Marks a platform on which targets can't be ordered."""
 
 
 class DutyDependencies(NamedTuple):
-    """What the work of any service needs of its node; ``named`` gives a model's newest version."""
+    """Dependencies of service duties; ``named_version`` returns a model's newest version."""
 
     step_log: StepLog
     routes: RouteTable
@@ -44,88 +44,92 @@
     scorer: Scorer
     journal: ProgressJournal
     observer: Observer
-    named: Callable[[str], int]
+    named_version: Callable[[str], int]
     servers: TargetProvisioning | Literal["no supply"] = NO_PROVISIONING
     guard: CrashGuard | None = None
 
 
 class ServiceDuties:
-    """The services of engines that the configuration names, each a duty."""
+    """One duty for each service with engines in the configuration."""
 
-    def __init__(self, parts: DutyDependencies) -> None:
-        """Make posts of ``parts``; what was saved of texts is shared between them."""
-        self._parts = parts
-        self._drafts = DraftShelf()
+    def __init__(self, dependencies: DutyDependencies) -> None:
+        """Create duties with ``dependencies``; all of them share one store of drafts."""
+        self._dependencies = dependencies
+        self._drafts = DraftStore()
 
     def subjects(self) -> Mapping[str, DutyFactory]:
-        """Return the services to run."""
-        services = self._parts.routes.config.services
+        """Return the services to run with their factories."""
+        services = self._dependencies.routes.config.services
         return {n: self._make for n, spec in services.items() if spec.engine is not None}
 
     async def _make(self, service: str, holder: Holder) -> Duty:
-        await self._parts.journal.restore(self._drafts)
-        return ServicePost(service, holder, self._parts, self._drafts)
+        await self._dependencies.journal.restore(self._drafts)
+        return ServiceDuty(service, holder, self._dependencies, self._drafts)
 
 
-class ServicePost:
-    """A service that this node runs."""
+class ServiceDuty:
+    """The duty of running one service."""
 
     def __init__(
-        self, service: str, holder: Holder, parts: DutyDependencies, drafts: DraftShelf
+        self, service: str, holder: Holder, dependencies: DutyDependencies, drafts: DraftStore
     ) -> None:
-        """Wire the parts; nothing runs before :meth:`start`."""
-        self._parts = parts
-        work = ServiceWork(service, parts.step_log, parts.routes, parts.targets)
-        finisher = Finisher(work, parts.scorer, parts.observer)
-        runs = RunPool(work, drafts, parts.engines, finisher, parts.observer, parts.guard)
-        self._runner = StepRunner(work, drafts, runs, finisher, parts.observer)
+        """Create all components; nothing runs before :meth:`start`."""
+        self._dependencies = dependencies
+        work = ServiceWork(
+            service, dependencies.step_log, dependencies.routes, dependencies.targets
+        )
+        finisher = Finisher(work, dependencies.scorer, dependencies.observer)
+        runs = RunPool(
+            work, drafts, dependencies.engines, finisher, dependencies.observer, dependencies.guard
+        )
+        self._runner = StepRunner(work, drafts, runs, finisher, dependencies.observer)
         self._orderer = Orderer(
             service,
             holder,
-            parts.routes,
-            parts.targets,
-            parts.orders,
-            parts.observer,
-            named=parts.named,
+            dependencies.routes,
+            dependencies.targets,
+            dependencies.orders,
+            dependencies.observer,
+            named=dependencies.named_version,
             work=work,
         )
         self._server_orderer = (
             ServerOrderer(
                 work,
-                parts.routes,
-                parts.targets,
-                parts.servers.channel,
+                dependencies.routes,
+                dependencies.targets,
+                dependencies.servers.channel,
                 holder,
-                parts.observer,
-                parts.servers.sees_targets,
+                dependencies.observer,
+                dependencies.servers.sees_targets,
             )
-            if isinstance(parts.servers, TargetProvisioning)
+            if isinstance(dependencies.servers, TargetProvisioning)
             else None
         )
         self._tasks = DutyTasks()
 
     def start(self, on_failure: Callable[[BaseException], None]) -> None:
-        """Run every part; see :class:`Duty`."""
-        parts = self._parts
+        """Start all components; see :class:`Duty`."""
+        dependencies = self._dependencies
         works = [
             self._runner.run(),
             self._orderer.run(),
-            parts.journal.keep(self._runner.open_drafts),
-            drop_forgotten_steps(parts.step_log, parts.observer),
+            dependencies.journal.save_periodically(self._runner.open_drafts),
+            drop_forgotten_steps(dependencies.step_log, dependencies.observer),
         ]
         if self._server_orderer is not None:
             works.append(self._server_orderer.run())
         self._tasks.start(works, on_failure)
 
     def stop(self) -> None:
-        """Cancel every part."""
+        """Cancel all components."""
         self._tasks.stop()
 
     async def save(self) -> None:
-        """Save every text that is being made."""
-        await self._parts.journal.save(self._runner.open_drafts())
+        """Save all open drafts."""
+        await self._dependencies.journal.save(self._runner.open_drafts())
 
     @property
     def out_of_reach(self) -> bool:
-        """Say no: an engine that this node can't reach is passed over, and the store has ways."""
+        """Always False: unreachable engines are skipped, and the store has indirect paths."""
         return False
--- a/samphirecleat/durable/_service_view.py
+++ b/samphirecleat/durable/_service_view.py
@@ -1,54 +1,54 @@
-"""What the configuration in force says of a service's engines, with what holds without it."""
+"""Engine settings of a service from the current configuration, with defaults."""
 
 from collections.abc import Sequence
 from typing import Final
 
 from ..serving import EngineSpec, RouteTable, Target, TargetTable
 
-# The memory of an engine whose configuration names none.
+# Engine memory when the configuration sets none.
 UNBOUNDED_TOKENS: Final = 1 << 40
 
 
 class ServiceView:
-    """One service, as the configuration says at the moment of the question."""
+    """Reads the settings of one service; every call uses the configuration in force."""
 
     def __init__(self, service: str, routes: RouteTable, targets: TargetTable) -> None:
-        """Look at ``service``."""
+        """Read the settings of ``service``."""
         self._service = service
         self._routes = routes
         self._targets = targets
 
     @property
     def tokens_per_event(self) -> int:
-        """How many tokens one event of its streams holds."""
+        """The number of tokens per streamed event."""
         engine = self._engine()
         return engine.tokens_per_event if engine is not None else 1
 
     @property
     def memory_tokens(self) -> int:
-        """The memory of one of its engines."""
+        """The memory of one engine, in tokens."""
         engine = self._engine()
         return engine.memory_tokens if engine is not None else UNBOUNDED_TOKENS
 
     @property
     def wants_single_version(self) -> bool:
-        """Whether its texts must be made by one version throughout."""
+        """Whether any route to the service requires texts of a single weight version."""
         return any(
             route.single_version
             for route in self._routes.config.routes
             if any(part.service == self._service for part in route.services)
         )
 
-    def places(self, target: Target) -> int:
-        """Return how many runs an engine takes at once."""
+    def slots(self, target: Target) -> int:
+        """Return how many concurrent runs an engine accepts."""
         engine = self._engine()
         return engine.slots if engine is not None else max(1, target.slots)
 
     @property
-    def most_places(self) -> int:
-        """The places of its largest engine, 1 at least."""
+    def max_slots(self) -> int:
+        """The slots of the largest engine, at least 1."""
         targets = self._targets.serving(self._service)
-        return max([1, *(self.places(target) for target in targets)])
+        return max([1, *(self.slots(target) for target in targets)])
 
     def models(self, target: Target) -> Sequence[str]:
         """Return the models that an engine serves."""
--- a/samphirecleat/durable/_service_work.py
+++ b/samphirecleat/durable/_service_work.py
@@ -1,7 +1,7 @@
-"""What is known of one service's work at the node that runs it.
+"""Shared state of one service's work on the node that holds the service's duty.
 
-The parts that run items, have them scored and give orders all read it; the comment behind each
-section names the part that writes it.
+Runner, finisher and orderers read it. The comment behind each attribute names the component that
+writes it.
 """
 
 import asyncio
@@ -10,9 +10,9 @@
 
 from ..serving import Route, RouteTable, Target, TargetTable
 from ._fold import StepState
-from ._item_decisions import MOVE_TO_SLOWNESS, ItemName
+from ._item_decisions import MAX_DESTINATION_SLOWNESS, ItemName
 from ._item_run import ItemRun
-from ._paces import PaceTable
+from ._paces import EngineStatsTable
 from ._planner import EngineView, Shortage
 from ._service_view import ServiceView
 from ._step_log import StepLog
@@ -21,29 +21,29 @@
 
 
 class ServiceWork:
-    """One service's open steps, runs and engines."""
+    """Open steps, runs and engines of one service."""
 
     def __init__(
         self, service: str, step_log: StepLog, routes: RouteTable, targets: TargetTable
     ) -> None:
-        """Start with nothing under way."""
+        """Start without runs."""
         self.service = service
         self.step_log = step_log
         self.targets = targets
         self.view = ServiceView(service, routes, targets)
         self.runs: dict[ItemName, ItemRun] = {}  # RunPool
         self.scoring: dict[ItemName, asyncio.Task[None]] = {}  # Finisher
-        self.handed_in: set[ItemName] = set()  # Finisher
-        self.short: Mapping[str, Shortage] = {}  # StepRunner
-        self.paces = PaceTable()  # RunPool, and Orderer by note_version
+        self.submitted: set[ItemName] = set()  # Finisher
+        self.shortages: Mapping[str, Shortage] = {}  # StepRunner
+        self.engine_stats = EngineStatsTable()  # RunPool, and Orderer by note_version
         self.changed = asyncio.Event()
         self._routes = routes
         self._loading: set[tuple[str, str]] = set()
         self._allowed_lags: dict[str, int] = {}
 
     def is_under_way(self, name: ItemName) -> bool:
-        """Whether an item runs, is being scored, or waits to be listed."""
-        return name in self.handed_in or name in self.runs or name in self.scoring
+        """Return whether an item is running, being scored or submitted for listing."""
+        return name in self.submitted or name in self.runs or name in self.scoring
 
     def open_steps(self) -> Sequence[tuple[StepState, Route]]:
         """Return the open steps of this service with their routes, oldest first."""
@@ -57,25 +57,25 @@
         return steps
 
     def priority_of(self, step: StepState) -> int:
-        """Return the rank of a step's workspace."""
+        """Return the priority rank of a step's workspace."""
         return self._routes.priority_of(step.spec.workspace)
 
     def items_to_make(self) -> int:
-        """Return how many items of the open steps have a run or want one."""
+        """Return how many items of the open steps are running or waiting to run."""
         unlisted = sum(len(step.unlisted) for step, _route in self.open_steps())
-        return max(0, unlisted - len(self.scoring) - len(self.handed_in))
+        return max(0, unlisted - len(self.scoring) - len(self.submitted))
 
     def engine_views(self, now_s: float) -> Sequence[EngineView]:
-        """Return the engines as the planner wants to see them."""
+        """Return the planner's view of all engines."""
         running: Counter[str] = Counter()
         planned: Counter[str] = Counter()
         for run in self.runs.values():
             running[run.target.instance] += 1
             planned[run.target.instance] += run.planned_tokens
-        typical_event_s = self.paces.typical_event_s()
+        median_event_interval_s = self.engine_stats.median_event_interval_s()
         views = []
         for target in self.targets.serving(self.service):
-            pace = self.paces.of(target.instance)
+            stats = self.engine_stats.of(target.instance)
             versions = {
                 model: self.version_of(target, model)
                 for model in self.view.models(target)
@@ -85,24 +85,24 @@
                 EngineView(
                     target.instance,
                     versions,
-                    self.view.places(target),
+                    self.view.slots(target),
                     self.view.memory_tokens,
                     running[target.instance],
                     planned[target.instance],
-                    self.paces.slowness(target.instance, typical_event_s),
-                    pace.rests_until_s <= now_s,
-                    pace.groups,
+                    self.engine_stats.slowness(target.instance, median_event_interval_s),
+                    stats.backoff_until_s <= now_s,
+                    stats.groups,
                     self.targets.warm.has(target, now_s),
                 )
             )
         return views
 
     def token_s(self) -> float:
-        """Return how long an engine of the typical pace takes for a token."""
-        return self.paces.typical_event_s() / self.view.tokens_per_event
+        """Return the generation time of a token on the median engine, in seconds."""
+        return self.engine_stats.median_event_interval_s() / self.view.tokens_per_event
 
     def busy_by_engine(self, model: str) -> Mapping[str, int]:
-        """Return how many runs of a model each engine has."""
+        """Return the number of runs of a model, by engine."""
         return Counter(
             run.target.instance
             for run in self.runs.values()
@@ -110,7 +110,7 @@
         )
 
     def demand(self, model: str, named_version: int) -> ModelDemand:
-        """Return what the open steps of a model, and the next one, ask of the engines."""
+        """Return what the open steps of a model, and the next step, need from the engines."""
         open_steps = [step for step, _route in self.open_steps() if step.spec.model == model]
         lag = allowed_lag(open_steps, self._allowed_lags.get(model, 0))
         self._allowed_lags[model] = lag
@@ -120,29 +120,29 @@
             named_version,
             lag,
             [step.spec.min_version for step in open_steps],
-            engines_wanted(known, self.view.most_places),
+            engines_wanted(known, self.view.max_slots),
             keeps_runs=not self.view.wants_single_version,
-            shortage=self.short.get(model),
+            shortage=self.shortages.get(model),
         )
 
     def version_of(self, target: Target, model: str) -> int:
         """Return the highest version of a model that the engine registered or streamed."""
-        streamed = self.paces.of(target.instance).versions.get(model, 0)
+        streamed = self.engine_stats.of(target.instance).versions.get(model, 0)
         return max(target.versions.get(model, 1), streamed)
 
     def note_version(self, instance: str, model: str, version: int) -> None:
-        """Take the version of a model that an engine itself reported."""
-        self.paces.of(instance).note_version(model, version)
+        """Record the version of a model that an engine reported itself, and wake the runner."""
+        self.engine_stats.of(instance).note_version(model, version)
         self.changed.set()
 
     def is_slow(self, instance: str) -> bool:
-        """Whether an engine is too slow to count on it for the next step."""
-        return self.paces.slowness(instance) >= MOVE_TO_SLOWNESS
+        """Return whether an engine is too slow to be counted on for the next step."""
+        return self.engine_stats.slowness(instance) >= MAX_DESTINATION_SLOWNESS
 
     def begin_load(self, instance: str, model: str) -> None:
-        """Place no item of a model at an engine until its load is over."""
+        """Stop placing items of a model on an engine while it loads that model."""
         self._loading.add((instance, model))
 
     def end_load(self, instance: str, model: str) -> None:
-        """Place items of a model at an engine again."""
+        """Allow items of a model on an engine again."""
         self._loading.discard((instance, model))
--- a/tests/durable/runner_stage.py
+++ b/tests/durable/runner_stage.py
@@ -18,7 +18,7 @@
     StepLog,
     StepRequest,
 )
-from samphirecleat.durable._drafts import DraftShelf
+from samphirecleat.durable._drafts import DraftStore
 from samphirecleat.durable._finisher import Finisher
 from samphirecleat.durable._run_pool import RunPool
 from samphirecleat.durable._runner import StepRunner
@@ -88,7 +88,7 @@
         return [engine for engine, call in self.calls if call.item_id == item_id]
 
 
-class FakeScorer:
+class StubScorer:
     """Scores each text at once, or once it is let; "" says that the reward failed for good."""
 
     def __init__(self) -> None:
@@ -110,7 +110,7 @@
     def __init__(
         self,
         engines: Sequence[str],
-        places: int,
+        slots: int,
         guard: CrashGuard | None = None,
         **route_changes: object,
     ) -> None:
@@ -123,12 +123,12 @@
             "r", "host.example", "/run/", CallKind.ROLLOUT, [WeightedService("svc", 1.0)],
             max_attempts=3, result_deadline_s=7.5, retention_s=60.0,
         )._replace(**route_changes)  # type: ignore[arg-type]  # fmt: skip
-        spec = ServiceSpec("svc", "", 10, EngineSpec(places, 4_000_000, ["m"], 65))
+        spec = ServiceSpec("svc", "", 10, EngineSpec(slots, 4_000_000, ["m"], 65))
         routes.put(RoutingConfig(1, (route,), {"svc": spec}, CallerLimits()))
         self.offer(engines)
         self.engines = ScriptedEngines()
-        self.scorer = FakeScorer()
-        self.drafts = DraftShelf()
+        self.scorer = StubScorer()
+        self.drafts = DraftStore()
         self.work = ServiceWork("svc", self.step_log, routes, self.targets)
         scorer = cast(Scorer, self.scorer)
         self.finisher = Finisher(self.work, scorer, self.observer)
@@ -175,14 +175,14 @@
 def play(
     engines: Sequence[str],
     body: Callable[[RunnerStage], Awaitable[None]],
-    places: int = 4,
+    slots: int = 4,
     guard: CrashGuard | None = None,
     **route_changes: object,
 ) -> RunnerStage:
     """Run a body beside a runner over some engines, and return the stage as it was left."""
 
     async def whole() -> RunnerStage:
-        stage = RunnerStage(engines, places, guard, **route_changes)
+        stage = RunnerStage(engines, slots, guard, **route_changes)
         async with running(stage):
             await body(stage)
         return stage
--- a/tests/durable/test_drafts.py
+++ b/tests/durable/test_drafts.py
@@ -1,6 +1,6 @@
 """Texts in the making: kept event by event, saved in parts, restored run by run."""
 
-from samphirecleat.durable._drafts import Draft, DraftPart, DraftShelf
+from samphirecleat.durable._drafts import Draft, DraftPart, DraftStore
 
 
 def grown(item_id: str, events: int, version: int = 1) -> Draft:
@@ -32,17 +32,17 @@
 
 
 def test_saved_parts_put_the_text_together_at_another_node() -> None:
-    draft, shelf = grown("i", 2), DraftShelf()
-    parts = [*draft.unsaved()]
-    assert draft.unsaved() == []
+    draft, shelf = grown("i", 2), DraftStore()
+    parts = [*draft.take_unsaved()]
+    assert draft.take_unsaved() == []
     draft.add(3, "e3", 2)
     draft.begin_run("r2")
     draft.add(4, "e4", 2)
-    draft.whole = True
-    parts.extend(draft.unsaved())
+    draft.complete = True
+    parts.extend(draft.take_unsaved())
     assert shelf.restore(parts) == 2
     restored = shelf.get("i")
-    assert (restored.text(), restored.whole, restored.versions) == (
+    assert (restored.text(), restored.complete, restored.versions) == (
         "e1\ne2\ne3\ne4",
         True,
         [1, 1, 2, 2],
@@ -51,13 +51,13 @@
 
 def test_parts_without_their_beginning_are_dropped() -> None:
     """Old records vanish from the log; a text that lacks its first events is no text."""
-    shelf = DraftShelf()
+    shelf = DraftStore()
     assert shelf.restore([part(3, ["e3"])]) == 0
     assert shelf.get("i").last_event_id == 0
 
 
 def test_a_text_started_anew_replaces_only_a_shorter_one() -> None:
-    shelf = DraftShelf()
+    shelf = DraftStore()
     shelf.restore([part(1, ["a", "b"])])
     shelf.restore([part(1, ["x"], "r2")])
     assert shelf.get("i").text() == "a\nb"
@@ -71,7 +71,7 @@
     Both save the same item for a moment, and a third node restores it. A text that leaves one
     run in its middle for another that was not asked to go on there is no engine's output.
     """
-    shelf = DraftShelf()
+    shelf = DraftStore()
     shelf.restore(
         [
             part(1, ["a1", "a2"], "frozen"),
@@ -88,7 +88,7 @@
 
 def test_the_longer_of_two_runs_is_taken_from_where_it_went_on() -> None:
     """A runner that stood still holds three events; its heir made five from the second on."""
-    shelf = DraftShelf()
+    shelf = DraftStore()
     shelf.restore([part(1, ["a1", "a2", "a3"], "frozen")])
     shelf.restore(
         [
@@ -101,8 +101,8 @@
 
 
 def test_an_end_counts_only_for_the_run_that_it_ends() -> None:
-    shelf = DraftShelf()
-    shelf.restore([part(1, ["a1"], "one"), part(2, [], "two", 0)._replace(whole=True)])
-    assert not shelf.get("i").whole
-    shelf.restore([part(2, [], "one")._replace(whole=True)])
-    assert shelf.get("i").whole
+    shelf = DraftStore()
+    shelf.restore([part(1, ["a1"], "one"), part(2, [], "two", 0)._replace(complete=True)])
+    assert not shelf.get("i").complete
+    shelf.restore([part(2, [], "one")._replace(complete=True)])
+    assert shelf.get("i").complete
--- a/tests/durable/test_item_decisions.py
+++ b/tests/durable/test_item_decisions.py
@@ -6,17 +6,17 @@
 
 from samphirecleat.durable import EngineView, GenerationEnd
 from samphirecleat.durable._item_decisions import (
-    ENGINE_REST_S,
-    ITEM_REST_S,
-    MOVE_AFTER_EVENTS,
-    REFUSAL_REST_S,
-    Aftermath,
-    ItemStanding,
-    NextStep,
+    ENGINE_BACKOFF_S,
+    ITEM_BACKOFF_S,
+    MIN_EVENTS_BEFORE_MOVE,
+    REFUSAL_BACKOFF_S,
+    FailureResponse,
+    ItemAction,
+    ItemStatus,
     RunView,
-    after_failed_run,
-    expected_rest_events,
-    next_step,
+    expected_remaining_events,
+    failure_response,
+    next_action,
     runs_to_move,
 )
 
@@ -24,19 +24,19 @@
 @pytest.mark.parametrize(
     ("standing", "want"),
     [
-        (ItemStanding(1.0, 12.0, False, True, False), NextStep.MAKE),
-        (ItemStanding(1.0, 12.0, False, True, True), NextStep.SCORE),
-        (ItemStanding(1.0, 12.0, False, False, False), NextStep.MAKE_ANEW),
+        (ItemStatus(1.0, 12.0, False, True, False), ItemAction.GENERATE),
+        (ItemStatus(1.0, 12.0, False, True, True), ItemAction.SCORE),
+        (ItemStatus(1.0, 12.0, False, False, False), ItemAction.REGENERATE),
         # A whole text that the step does not allow is made anew, not scored.
-        (ItemStanding(1.0, 12.0, False, False, True), NextStep.MAKE_ANEW),
-        (ItemStanding(1.0, 12.0, True, True, False), NextStep.REST),
-        (ItemStanding(12.0, 12.0, False, True, True), NextStep.GIVE_UP),
-        (ItemStanding(12.0, 12.0, True, False, False), NextStep.GIVE_UP),
-        (ItemStanding(999.0, 0.0, False, True, False), NextStep.MAKE),
+        (ItemStatus(1.0, 12.0, False, False, True), ItemAction.REGENERATE),
+        (ItemStatus(1.0, 12.0, True, True, False), ItemAction.BACK_OFF),
+        (ItemStatus(12.0, 12.0, False, True, True), ItemAction.GIVE_UP),
+        (ItemStatus(12.0, 12.0, True, False, False), ItemAction.GIVE_UP),
+        (ItemStatus(999.0, 0.0, False, True, False), ItemAction.GENERATE),
     ],
 )
-def test_what_an_item_needs_next(standing: ItemStanding, want: NextStep) -> None:
-    assert next_step(standing) is want
+def test_what_an_item_needs_next(standing: ItemStatus, want: ItemAction) -> None:
+    assert next_action(standing) is want
 
 
 def engine(
@@ -61,7 +61,7 @@
         ([run("a", 3.0)], [engine("e1", accepts=False)], []),
         # A little slower, hardly begun, or asked already: it stays.
         ([run("a", 1.9)], [engine("e1")], []),
-        ([run("a", 3.0, MOVE_AFTER_EVENTS - 1)], [engine("e1")], []),
+        ([run("a", 3.0, MIN_EVENTS_BEFORE_MOVE - 1)], [engine("e1")], []),
         ([run("a", 3.0, moving=True), run("b", 3.0)], [engine("e1")], ["b"]),
     ],
 )
@@ -72,12 +72,14 @@
 def pressed(
     item: str,
     slowness: float,
-    rest_s: float,
+    remaining_s: float,
     due_in_s: float,
     leaves_in_s: float = math.inf,
     min_version: int = 1,
 ) -> RunView:
-    return RunView(("s", item), slowness, 9, False, rest_s, due_in_s, leaves_in_s, "m", min_version)
+    return RunView(
+        ("s", item), slowness, 9, False, remaining_s, due_in_s, leaves_in_s, "m", min_version
+    )
 
 
 @pytest.mark.parametrize(
@@ -117,27 +119,31 @@
     made: int, hinted: int, most: int, want: int
 ) -> None:
     """Guards against a long text that looks all but done because its hint was short."""
-    assert expected_rest_events(made, hinted, most) == want
+    assert expected_remaining_events(made, hinted, most) == want
 
 
 @pytest.mark.parametrize(
     ("reason", "failures", "want"),
     [
-        (GenerationEnd.IMPOSSIBLE, 0, Aftermath(item_dead=True)),
-        (GenerationEnd.FAILED, 2, Aftermath(item_dead=False)),
-        (GenerationEnd.FAILED, 3, Aftermath(item_dead=True)),
-        (GenerationEnd.REFUSED, 0, Aftermath(engine_rest_s=REFUSAL_REST_S)),
-        (GenerationEnd.BROKEN, 0, Aftermath(engine_rest_s=ENGINE_REST_S)),
-        (GenerationEnd.WRONG_INSTANCE, 0, Aftermath(engine_rest_s=ENGINE_REST_S)),
-        (GenerationEnd.SILENT, 0, Aftermath(item_rest_s=0.0, engine_rest_s=ENGINE_REST_S)),
+        (GenerationEnd.IMPOSSIBLE, 0, FailureResponse(give_up_item=True)),
+        (GenerationEnd.FAILED, 2, FailureResponse(give_up_item=False)),
+        (GenerationEnd.FAILED, 3, FailureResponse(give_up_item=True)),
+        (GenerationEnd.REFUSED, 0, FailureResponse(engine_backoff_s=REFUSAL_BACKOFF_S)),
+        (GenerationEnd.BROKEN, 0, FailureResponse(engine_backoff_s=ENGINE_BACKOFF_S)),
+        (GenerationEnd.WRONG_INSTANCE, 0, FailureResponse(engine_backoff_s=ENGINE_BACKOFF_S)),
+        (
+            GenerationEnd.SILENT,
+            0,
+            FailureResponse(item_backoff_s=0.0, engine_backoff_s=ENGINE_BACKOFF_S),
+        ),
     ],
 )
 def test_what_follows_a_run_that_failed(
-    reason: GenerationEnd, failures: int, want: Aftermath
+    reason: GenerationEnd, failures: int, want: FailureResponse
 ) -> None:
-    assert after_failed_run(reason, failures, max_attempts=3) == want
+    assert failure_response(reason, failures, max_attempts=3) == want
 
 
 def test_an_item_rests_a_moment_after_an_engine_failed_it() -> None:
     """An engine that fails an item at once would otherwise be asked as fast as it answers."""
-    assert after_failed_run(GenerationEnd.FAILED, 1, 3).item_rest_s == ITEM_REST_S > 0.0
+    assert failure_response(GenerationEnd.FAILED, 1, 3).item_backoff_s == ITEM_BACKOFF_S > 0.0
--- a/tests/durable/test_item_run.py
+++ b/tests/durable/test_item_run.py
@@ -10,7 +10,7 @@
 from samphirecleat.durable._fold import StepFold
 from samphirecleat.durable._item_run import ItemRun, stream_item
 from samphirecleat.durable._open_item import OpenItem
-from samphirecleat.durable._paces import Pace
+from samphirecleat.durable._paces import EngineStats
 from samphirecleat.serving import CallKind, Route, Target
 
 from .steps import accepted, step
@@ -49,8 +49,8 @@
     return ItemRun(OpenItem(state, state.items["s1-0"], route), target, Draft("s1-0"), 1)
 
 
-def stream(run: ItemRun, engine: OneStream, pace: Pace | None = None) -> None:
-    asyncio.run(stream_item(run, engine, pace or Pace()))
+def stream(run: ItemRun, engine: OneStream, stats: EngineStats | None = None) -> None:
+    asyncio.run(stream_item(run, engine, stats or EngineStats()))
 
 
 def pieces(*versions: int, first: int = 1) -> Sequence[Piece]:
@@ -58,13 +58,13 @@
 
 
 def test_a_whole_stream_makes_the_text_and_tells_of_the_engine() -> None:
-    run, pace, engine = make_run(), Pace(), OneStream(pieces(3, 3, 4))
-    stream(run, engine, pace)
-    assert run.draft.whole
+    run, stats, engine = make_run(), EngineStats(), OneStream(pieces(3, 3, 4))
+    stream(run, engine, stats)
+    assert run.draft.complete
     assert run.draft.text() == "1\n2\n3"
     assert run.draft.version_set() == [3, 4]
-    assert pace.versions == {"m": 4}
-    assert pace.event_s > 0.0
+    assert stats.versions == {"m": 4}
+    assert stats.event_interval_s > 0.0
     assert engine.closed
 
 
@@ -100,13 +100,13 @@
         stream(run, engine)
     assert caught.value.reason is GenerationEnd.BROKEN
     assert run.draft.text() == kept
-    assert not run.draft.whole
+    assert not run.draft.complete
     assert engine.closed
 
 
 def test_a_run_that_is_moved_ends_at_its_next_event() -> None:
     run, engine = make_run(), OneStream(pieces(1, 1, 1, 1))
-    run.move = True
+    run.move_requested = True
     with pytest.raises(GenerationError):
         stream(run, engine)
     assert run.draft.text() == "1"
--- a/tests/durable/test_runner.py
+++ b/tests/durable/test_runner.py
@@ -6,7 +6,7 @@
 
 from samphirecleat.crashes import FREE_ENDS, CrashLedger
 from samphirecleat.durable import GenerationEnd
-from samphirecleat.durable._item_bound import BARRED_REST_S
+from samphirecleat.durable._item_bound import BARRED_BACKOFF_S
 
 from ..crashes.guards import make_guard
 from ..fleets import until
@@ -74,7 +74,7 @@
         stage.engines.events = 60
         for name in ("e1", "e2", "e3"):
             for _ in range(8):
-                stage.work.paces.of(name).note_pause(0.002)
+                stage.work.engine_stats.of(name).record_event_interval(0.002)
         stage.engines.event_s["e1"] = 0.04
         await stage.accept(step(items=6))
         await stage.listed(6)
@@ -89,7 +89,7 @@
 @pytest.fixture
 def patient(monkeypatch: pytest.MonkeyPatch) -> None:
     """No run is given up for its silence."""
-    monkeypatch.setattr("samphirecleat.durable._item_run.FIRST_EVENT_S", 1e6)
+    monkeypatch.setattr("samphirecleat.durable._item_run.FIRST_EVENT_TIMEOUT_S", 1e6)
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
 
     A trainer that waits for the item must get it all the same, with no event missing or twice.
     """
-    monkeypatch.setattr("samphirecleat.durable._item_run.FIRST_EVENT_S", 0.1)
+    monkeypatch.setattr("samphirecleat.durable._item_run.FIRST_EVENT_TIMEOUT_S", 0.1)
 
     async def body(stage: RunnerStage) -> None:
         stage.engines.ends["e1"] = [end]
@@ -122,8 +122,8 @@
 
     Without a rest it would get the same item again at once, and the step would never end.
     """
-    monkeypatch.setattr("samphirecleat.durable._item_run.FIRST_EVENT_S", 0.1)
-    monkeypatch.setattr("samphirecleat.durable._item_decisions.ENGINE_REST_S", 30.0)
+    monkeypatch.setattr("samphirecleat.durable._item_run.FIRST_EVENT_TIMEOUT_S", 0.1)
+    monkeypatch.setattr("samphirecleat.durable._item_decisions.ENGINE_BACKOFF_S", 30.0)
 
     async def body(stage: RunnerStage) -> None:
         stage.engines.ends["e1"] = [GenerationEnd.SILENT] * 9
@@ -132,7 +132,7 @@
         await stage.accept(step("s2", items=4))
         await stage.listed(4, "s2")
 
-    stage = play(["e1", "e2"], body, places=8)
+    stage = play(["e1", "e2"], body, slots=8)
     assert [engine for engine, _call in stage.engines.calls].count("e1") <= 2
 
 
@@ -192,7 +192,7 @@
         await until(lambda: not stage.work.scoring and not stage.work.runs)
         assert stage.engines.closed.count("e2") == 1
 
-    stage = play(["e1", "e2"], body, places=1)
+    stage = play(["e1", "e2"], body, slots=1)
     assert not stage.scorer.scored
 
 
@@ -206,7 +206,7 @@
         draft = stage.drafts.get("s1-0")
         draft.begin_run("r")
         draft.add(1, "saved", 1)
-        draft.whole = True
+        draft.complete = True
         await stage.accept(step(items=1, reward=True))
         await stage.listed(1)
 
@@ -238,12 +238,12 @@
 def test_what_found_no_place_is_told_to_the_loads_of_weights() -> None:
     async def body(stage: RunnerStage) -> None:
         await stage.accept(step(items=2, min_version=5))
-        await until(lambda: bool(stage.work.short))
+        await until(lambda: bool(stage.work.shortages))
         assert stage.work.demand("m", 6).waits
         stage.work.note_version("e1", "m", 5)
         stage.engines.versions["e1"] = 5
         await stage.listed(2)
-        await until(lambda: not stage.work.short)
+        await until(lambda: not stage.work.shortages)
         assert not stage.work.demand("m", 6).waits
 
     play(["e1"], body)
@@ -274,7 +274,7 @@
 
     async def body(stage: RunnerStage) -> None:
         for name, pause_s in (("e1", 0.12), ("e2", 0.04), ("e3", 0.04)):
-            stage.work.paces.of(name).note_pause(pause_s)
+            stage.work.engine_stats.of(name).record_event_interval(pause_s)
         assert [stage.work.is_slow(name) for name in ("e1", "e2", "e3")] == [True, False, False]
         await asyncio.sleep(0.0)
 
@@ -310,7 +310,7 @@
         await stage.accept(step(items=4))
         await stage.listed(3)
         await asyncio.sleep(2.5)
-        rests = (loop.time() - began_s) / BARRED_REST_S
+        rests = (loop.time() - began_s) / BARRED_BACKOFF_S
         assert FREE_ENDS <= len(stage.engines.engines_of("s1-0")) <= FREE_ENDS + 1 + rests
         stage.engines.ends_on.clear()
         await stage.listed(4)
--- a/tests/durable/test_server_orders.py
+++ b/tests/durable/test_server_orders.py
@@ -21,7 +21,7 @@
 from ..fleets import until
 from .runner_stage import RunnerStage
 
-PLACES = 4
+SLOTS = 4
 PRICES = {"za": 1.0, "zb": 0.8}
 
 
@@ -32,7 +32,7 @@
         self.spot: dict[str, int] = {}
         self.calls: list[tuple[str, int]] = []
         self.answers: list[ScaleOutcome] = []
-        self.dry: set[str] = set()
+        self.exhausted: set[str] = set()
 
     async def order_spot(
         self, service: str, zone: str, count: int, holder: Holder, timeout_s: float
@@ -40,7 +40,7 @@
         del service, holder, timeout_s
         self.calls.append((zone, count))
         answer = self.answers.pop(0) if self.answers else ScaleOutcome.TAKEN
-        if zone in self.dry:
+        if zone in self.exhausted:
             answer = ScaleOutcome.NONE_OR_FENCED
         if answer is ScaleOutcome.TAKEN:
             self.spot[zone] = count
@@ -55,10 +55,10 @@
         self.sees_targets = True
         self.may_act = True
         self.platform = FakePlatform()
-        inner = RunnerStage([], PLACES)
+        inner = RunnerStage([], SLOTS)
         self.routes, self.targets = RouteTable(), inner.targets
         spec = ServiceSpec(
-            "svc", "", 9, EngineSpec(PLACES, 1 << 30, ["m"]), ScalingSpec(1, 9, 0.0, PRICES, 0.15)
+            "svc", "", 9, EngineSpec(SLOTS, 1 << 30, ["m"]), ScalingSpec(1, 9, 0.0, PRICES, 0.15)
         )
         self.routes.put(RoutingConfig(1, (), {"svc": spec}, CallerLimits()))
         self.offer(spot={})
@@ -79,7 +79,7 @@
         rows += [(f"s{zone}{n}", zone, True) for zone, count in spot.items() for n in range(count)]
         self.targets.replace(
             {
-                name: Target(name, "svc", "127.0.0.1:1", zone, PLACES, False, spot=is_spot)
+                name: Target(name, "svc", "127.0.0.1:1", zone, SLOTS, False, spot=is_spot)
                 for name, zone, is_spot in rows
             }
         )
@@ -97,8 +97,8 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("samphirecleat.durable._server_orders.DRY_S", 0.1)
-    for name in ("LOOK_EVERY_S", "UNKNOWN_REST_S", "SETTLE_S"):
+    monkeypatch.setattr("samphirecleat.durable._server_orders.EXHAUSTED_ZONE_BACKOFF_S", 0.1)
+    for name in ("CHECK_INTERVAL_S", "UNKNOWN_OUTCOME_BACKOFF_S", "REGISTRATION_DELAY_S"):
         monkeypatch.setattr(f"samphirecleat.durable._server_orders.{name}", 0.02)
 
 
@@ -114,7 +114,7 @@
 
 
 def test_when_the_peak_is_over_the_targets_go(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("samphirecleat.durable._server_orders.PEAK_KEPT_S", 0.1)
+    monkeypatch.setattr("samphirecleat.durable._server_orders.PEAK_WINDOW_S", 0.1)
     stage = Stage(items=20)
     stage.drive(lambda: sum(stage.platform.spot.values()) == 3)
     stage.items = 0
@@ -156,11 +156,11 @@
 def test_what_stands_in_for_a_dry_zone_stays_until_that_zone_gives_again() -> None:
     """Guards against targets that come and go with each try for a zone that has none."""
     stage = Stage(items=20)
-    stage.platform.dry = {"zb"}
+    stage.platform.exhausted = {"zb"}
     stage.drive(lambda: stage.platform.spot.get("za") == 3)
     stage.offer(spot=stage.platform.spot)
     before = len(stage.platform.calls)
     stage.drive(lambda: len(stage.platform.calls) > before + 2)
     assert {zone for zone, _count in stage.platform.calls[before:]} == {"zb"}
-    stage.platform.dry = set()
+    stage.platform.exhausted = set()
     stage.drive(lambda: stage.platform.spot.get("zb", 0) > 0)
--- a/tests/durable/test_server_plan.py
+++ b/tests/durable/test_server_plan.py
@@ -21,8 +21,8 @@
 
 
 FULL = zones(("a", 8, 0), ("b", 7, 0), ("c", 7, 0))
-DRY_A = zones(("a", 8, 2, True), ("b", 7, 0), ("c", 7, 0))
-ALL_DRY = zones(("a", 8, 0, True), ("b", 7, 0, True), ("c", 7, 0, True))
+EXHAUSTED_A = zones(("a", 8, 2, True), ("b", 7, 0), ("c", 7, 0))
+ALL_EXHAUSTED = zones(("a", 8, 0, True), ("b", 7, 0, True), ("c", 7, 0, True))
 
 
 @pytest.mark.parametrize(
@@ -39,8 +39,8 @@
         # No zone gets more than it may have of both kinds.
         (FULL, 30, scaling(maximum=8), {"a": 0, "b": 1, "c": 1}),
         # A dry zone keeps what it has, and the others take its part.
-        (DRY_A, 26, scaling(), {"a": 2, "b": 1, "c": 1}),
-        (ALL_DRY, 40, scaling(), {"a": 0, "b": 0, "c": 0}),
+        (EXHAUSTED_A, 26, scaling(), {"a": 2, "b": 1, "c": 1}),
+        (ALL_EXHAUSTED, 40, scaling(), {"a": 0, "b": 0, "c": 0}),
         # A zone without a price is none that targets can be ordered for.
         (FULL, 24, scaling(prices={"b": 1.0}), {"b": 2}),
         # Where spot targets are not cheaper, or not offered, none is ordered.
