--- a/samphirecleat/durable/_duty.py
+++ b/samphirecleat/durable/_duty.py
@@ -177,11 +177,11 @@
             lost = claim is None or claim.offset != self._held[subject].offset
             if lost or subject not in subjects:
                 self._stop_duty(subject)
-        for subject, maker in subjects.items():
+        for subject, factory in subjects.items():
             claim = self._step_log.fold.claims.get(subject)
             if claim is not None and claim.incarnation == own:
                 if subject not in self._held and not self._leaving:
-                    await self._start_duty(subject, claim, maker)
+                    await self._start_duty(subject, claim, factory)
                 elif not self._leaving and self._held[subject].duty.out_of_reach:
                     self._logger.warning(
                         "subject=%s handing over, not possible from this node", subject
@@ -237,7 +237,7 @@
             written.outcome.value,
         )
 
-    async def _start_duty(self, subject: str, claim: Claim, maker: DutyFactory) -> None:
+    async def _start_duty(self, subject: str, claim: Claim, factory: DutyFactory) -> None:
         # All processes of a host count as the same holder.
         previous_is_other = claim.previous_node_id not in ("", claim.node_id)
         holder = Holder(
@@ -247,7 +247,7 @@
             self._may_act(subject, claim),
             boot_time_s(),
         )
-        duty = await maker(subject, holder)
+        duty = await factory(subject, holder)
         duty.start(partial(self._note_failure, subject, claim.offset))
         self._held[subject] = _HeldDuty(duty, claim.offset)
         self._logger.info(
--- a/samphirecleat/durable/_item_decisions.py
+++ b/samphirecleat/durable/_item_decisions.py
@@ -128,23 +128,23 @@
         return True
     if run.slowness > MIN_SLOWNESS_TO_MOVE and engine.slowness < MAX_DESTINATION_SLOWNESS:
         return True
-    faster_by = run.slowness - engine.slowness
+    slowness_gain = run.slowness - engine.slowness
     return (
         run.slack_s < 0.0
-        and faster_by >= MIN_SLOWNESS_GAIN
-        and faster_by * run.remaining_s >= MIN_TIME_GAIN_S
+        and slowness_gain >= MIN_SLOWNESS_GAIN
+        and slowness_gain * run.remaining_s >= MIN_TIME_GAIN_S
     )
 
 
-def expected_remaining_events(made: int, hinted: int, maximum: int) -> int:
+def expected_remaining_events(generated: int, hinted: int, maximum: int) -> int:
     """Return how many more events a text is expected to have.
 
     Length hints are right at the median and often far off. Once a text is longer than its hint,
     the hint is ignored and the remaining length is estimated from the current length.
     """
-    if made < hinted:
-        return hinted - made
-    return max(0, min(EXCEEDED_HINT_FACTOR * made, maximum - made))
+    if generated < hinted:
+        return hinted - generated
+    return max(0, min(EXCEEDED_HINT_FACTOR * generated, maximum - generated))
 
 
 class FailureResponse(NamedTuple):
--- a/samphirecleat/durable/_runner.py
+++ b/samphirecleat/durable/_runner.py
@@ -118,14 +118,14 @@
         step, item, route = open_item
         draft = self._drafts.get(item.item_id)
         fits = draft.fits(step.spec.min_version, single_version=route.single_version)
-        standing = ItemStatus(
+        status = ItemStatus(
             now_s - step.folded_at_s,
             route.retention_s,
             self._runs.is_backing_off(open_item.name, now_s),
             fits,
             draft.complete,
         )
-        match next_action(standing):
+        match next_action(status):
             case ItemAction.GIVE_UP:
                 self._finisher.give_up(open_item)
                 return False
@@ -142,15 +142,15 @@
 
     def _pending_item(self, open_item: OpenItem, now_s: float) -> PendingItem:
         step, item, route = open_item
-        made = self._drafts.get(item.item_id).last_event_id * self._work.view.tokens_per_event
+        generated = self._drafts.get(item.item_id).last_event_id * self._work.view.tokens_per_event
         return PendingItem(
             step.spec.step_id,
             item.item_id,
             item.group,
             step.folded_at_s + route.result_deadline_s - now_s,
             item.item_id in step.carried,
-            max(MIN_EXPECTED_TOKENS, item.expected_tokens - made),
-            item.prompt_tokens + made,
+            max(MIN_EXPECTED_TOKENS, item.expected_tokens - generated),
+            item.prompt_tokens + generated,
             step.spec.min_version,
             step.spec.model,
             self._work.priority_of(step),
--- a/samphirecleat/durable/_server_orders.py
+++ b/samphirecleat/durable/_server_orders.py
@@ -24,7 +24,7 @@
 PEAK_WINDOW_S: Final = 20.0
 # Delay before a zone without spot capacity, or one that refused an order, is asked again.
 EXHAUSTED_ZONE_BACKOFF_S: Final = 3.0
-# Delay before an order is repeated that got no answer or was turned away as busy.
+# Delay before an order is repeated that got no answer or was rejected as busy.
 UNKNOWN_OUTCOME_BACKOFF_S: Final = 1.0
 # Added to a target's boot time before a missing target counts as a lost order: registrations arrive
 # up to two seconds late.
@@ -102,7 +102,7 @@
                 await self._adjust(spec.scaling, now_s)
 
     def _note_wave(self, now_s: float) -> None:
-        items = self._work.items_to_make()
+        items = self._work.items_to_generate()
         while self._waves and self._waves[-1][1] <= items:
             self._waves.pop()
         self._waves.append((now_s, items))
@@ -119,12 +119,12 @@
         seen = {zone.zone: zone.spot for zone in zones}
         # Increases are ordered first, and reductions only if all of them were accepted. Otherwise
         # the substitutes for an exhausted zone would be released and ordered again repeatedly.
-        lacking = False
+        increase_failed = False
         for zone, count in sorted(plan.items(), key=lambda row: seen[row[0]] - row[1]):
             if not self._is_due(zone, count, seen[zone], scaling, now_s):
                 continue
             ordered = self._ordered.get(zone, _ZoneOrder()).servers
-            if lacking and count < max(seen[zone], ordered):
+            if increase_failed and count < max(seen[zone], ordered):
                 continue
             self._logger.info(
                 "service=%s zone=%s spot=%d before=%d because wave_items=%d places=%d wanted=%d "
@@ -139,7 +139,7 @@
                 ",".join(f"{z.zone}:{z.ordinary}+{z.spot}" for z in zones),
                 self._holder.fencing_number,
             )
-            lacking |= await self._order(zone, count) is not ScaleOutcome.TAKEN
+            increase_failed |= await self._order(zone, count) is not ScaleOutcome.TAKEN
 
     def _zones(self, scaling: ScalingSpec, now_s: float) -> list[ZoneCapacity]:
         """Return the targets of each zone that has targets of the service or was ordered for."""
--- a/samphirecleat/durable/_service_work.py
+++ b/samphirecleat/durable/_service_work.py
@@ -60,7 +60,7 @@
         """Return the priority rank of a step's workspace."""
         return self._routes.priority_of(step.spec.workspace)
 
-    def items_to_make(self) -> int:
+    def items_to_generate(self) -> int:
         """Return how many items of the open steps are running or waiting to run."""
         unlisted = sum(len(step.unlisted) for step, _route in self.open_steps())
         return max(0, unlisted - len(self.scoring) - len(self.submitted))
--- a/tests/durable/runner_stage.py
+++ b/tests/durable/runner_stage.py
@@ -1,4 +1,4 @@
-"""A runner on a log in memory, with engines that stream as a script says."""
+"""Test fixture: a service runner with an in-memory log and scripted engines."""
 
 import asyncio
 import random
@@ -45,10 +45,11 @@
 
 
 class ScriptedEngines:
-    """Each text has some events; ``ends`` says how an engine's next runs end early.
+    """Engines that generate ``events`` events per text and fail as scripted.
 
-    ``event_s`` is an engine's pause between events, ``versions`` its weights. An item in
-    ``ends_on`` ends each engine that begins to run it.
+    ``ends`` lists, by engine, how its next runs end early. ``event_s`` is an engine's interval
+    between events, ``versions`` its weight version. Every engine that starts an item in ``ends_on``
+    closes the connection.
     """
 
     def __init__(self) -> None:
@@ -84,12 +85,12 @@
             self.closed.append(engine)
 
     def engines_of(self, item_id: str) -> Sequence[str]:
-        """Return the engines that were asked for an item, in order."""
+        """Return the engines that an item was sent to, in order."""
         return [engine for engine, call in self.calls if call.item_id == item_id]
 
 
 class StubScorer:
-    """Scores each text at once, or once it is let; "" says that the reward failed for good."""
+    """Scores a text as soon as ``open`` is set; the signature "" means a permanent failure."""
 
     def __init__(self) -> None:
         self.scored: list[str] = []
@@ -105,7 +106,7 @@
 
 
 class RunnerStage:
-    """All parts of one service's work on one node."""
+    """All components of one service's work on one node."""
 
     def __init__(
         self,
@@ -138,7 +139,7 @@
         self.runner = StepRunner(self.work, self.drafts, self.runs, self.finisher, self.observer)
 
     def offer(self, engines: Sequence[str]) -> None:
-        """Have just these engines registered, with the first version of the model."""
+        """Register exactly these engines, with the first version of the model."""
         self.targets.replace(
             {name: Target(name, "svc", "127.0.0.1:1", "z", 9, False, {"m": 1}) for name in engines}
         )
@@ -149,11 +150,11 @@
         await until(lambda: spec.step_id in self.step_log.fold.steps)
 
     def results(self, step_id: str = "s1") -> dict[str, bool]:
-        """Return the listed items of a step and whether each has a text."""
+        """Return, by listed item of a step, whether it has a text."""
         return {r.item_id: r.completed for r in self.step_log.fold.steps[step_id].results}
 
     async def listed(self, count: int, step_id: str = "s1") -> None:
-        """Wait until so many items of a step are listed."""
+        """Wait until ``count`` items of a step are listed."""
         await until(lambda: len(self.results(step_id)) >= count)
 
 
@@ -179,12 +180,12 @@
     guard: CrashGuard | None = None,
     **route_changes: object,
 ) -> RunnerStage:
-    """Run a body beside a runner over some engines, and return the stage as it was left."""
+    """Run ``body`` with a running service, and return the stage afterwards."""
 
-    async def whole() -> RunnerStage:
+    async def run_body() -> RunnerStage:
         stage = RunnerStage(engines, slots, guard, **route_changes)
         async with running(stage):
             await body(stage)
         return stage
 
-    return asyncio.run(whole())
+    return asyncio.run(run_body())
--- a/tests/durable/test_duty.py
+++ b/tests/durable/test_duty.py
@@ -1,4 +1,4 @@
-"""A node's claims while the log answers badly."""
+"""Tests of claiming, takeover and handing over duties."""
 
 import asyncio
 import random
@@ -37,8 +37,8 @@
 from .memory_log import MemoryLog
 
 
-def make_duty(step_log: StepLog) -> DutyKeeper:
-    """Return the duty of the only node, which is ready; nothing can be restored."""
+def make_keeper(step_log: StepLog) -> DutyKeeper:
+    """Return the duty keeper of a single ready node, without a journal."""
     identity = Identity("n1", "inc00001", "z", "", "")
     row = Member("n1", "inc00001", 1, "z", "", "", 1, False, True, 1, 0, 0)
     board = Blackboard(identity, members={"n1": MemberView(row, 0.0, True)})
@@ -61,15 +61,15 @@
     return DutyKeeper(board, step_log, subjects, observer, random.Random(1), lease_s=3.0)
 
 
-def test_a_claim_that_the_log_refused_is_made_again_at_once(
+def test_a_claim_refused_by_the_log_is_retried_without_a_pause(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The log refuses a claim while it comes back, and is up for only a second after that.
+    """A recovering log refuses a claim, and is then available for only a second.
 
-    A node that paused as between two claims that took effect would miss that second, and the
-    steps would wait for the end of the log's next absence.
+    A node that waited for the usual pause between claims would miss that second, and the steps
+    would wait until the log's next outage is over.
     """
-    # With the pause no second claim would come while the test waits.
+    # With this pause between claims, no second claim would be written during the test.
     monkeypatch.setattr("samphirecleat.durable._election.CLAIM_PAUSE_S", 1e6)
 
     async def body() -> int:
@@ -78,7 +78,7 @@
         following = asyncio.ensure_future(step_log.run())
         await until(lambda: step_log.caught_up)
         log.topic("keyed.steps").answers = ["refused", "refused"]
-        working = asyncio.ensure_future(make_duty(step_log).run())
+        working = asyncio.ensure_future(make_keeper(step_log).run())
         await until(lambda: "svc" in step_log.fold.claims)
         for task in (working, following):
             task.cancel()
@@ -89,14 +89,14 @@
 
 
 @pytest.mark.parametrize(("fenced", "want_s"), [(False, 4.0), (True, 2.0)])
-def test_an_heir_waits_for_what_its_forerunner_may_still_do(fenced: bool, want_s: float) -> None:
-    """Guards against two holders that act in turns, and a duty that stands still for nothing."""
+def test_a_new_holder_waits_for_calls_of_the_previous_one(fenced: bool, want_s: float) -> None:
+    """Guards against two holders that act at the same time, and against an unnecessary pause."""
     assert takeover_wait_s(3.0, fenced=fenced) == want_s
     assert takeover_wait_s(0.3, fenced=fenced) <= 1.3
 
 
 class CutOffDuty:
-    """A duty that this node can't do from where it is."""
+    """A duty that can't be performed from this node."""
 
     out_of_reach = True
 
@@ -104,14 +104,14 @@
         del on_failure
 
     def stop(self) -> None:
-        """End at once."""
+        """Nothing to stop."""
 
     async def save(self) -> None:
-        """Keep nothing."""
+        """Nothing to save."""
 
 
-def test_a_duty_that_is_out_of_reach_goes_to_another_node() -> None:
-    """Guards against a duty that stands still because the platform answers its holder alone not."""
+def test_a_duty_that_is_out_of_reach_is_handed_over() -> None:
+    """Guards against a stalled duty when only its holder can't reach the platform."""
 
     async def make(subject: str, holder: Holder) -> Duty:
         del subject, holder
--- a/tests/durable/test_election.py
+++ b/tests/durable/test_election.py
@@ -1,4 +1,4 @@
-"""Who claims a service."""
+"""Tests of the election of a service's runner."""
 
 import pytest
 
@@ -28,34 +28,34 @@
         ({"known_members": 9, "runner_silent_s": 5.0}, True),
     ],
     ids=[
-        "nobody runs it",
+        "no runner",
         "just started",
-        "claimed a moment ago",
-        "its runner lives",
-        "its runner is gone",
-        "a claim that is settling",
-        "its host is back",
-        "own host is back",
-        "another comes first",
-        "nobody is ready",
-        "cut off, runner writes",
-        "cut off, runner silent",
+        "claimed recently",
+        "runner alive",
+        "runner gone",
+        "claim is recent",
+        "host of the runner restarted",
+        "own host restarted",
+        "another candidate ranks first",
+        "no candidate is ready",
+        "minority, runner writes",
+        "minority, runner silent",
     ],
 )
 def test_should_claim(changes: dict[str, object], want: bool) -> None:
     assert should_claim(VIEW._replace(**changes)) is want  # type: ignore[arg-type]
 
 
-def test_a_restarted_process_comes_before_those_to_be_restarted_next() -> None:
+def test_a_restarted_process_ranks_before_those_not_restarted_yet() -> None:
     young = Candidate("n9", "young", 30_000)
     assert [c.node_id for c in ranked([OWN, young, OTHER])] == ["n9", "n1", "n2"]
     assert [c.node_id for c in ranked([OWN, young, OTHER], "n2")] == ["n2", "n9", "n1"]
 
 
-def test_a_strong_host_comes_before_a_weak_one_that_ran_the_service() -> None:
-    """A fleet of mixed hosts restarts, and a host with half a core was its runner.
+def test_a_strong_host_ranks_before_a_weak_one_that_ran_the_service() -> None:
+    """A fleet of mixed hosts restarts, and the previous runner has half a core.
 
-    It takes the events of all engines later than they are made, and every step is late.
+    It would handle engine events later than they are generated, and every step would be late.
     """
     weak = Candidate("n0", "weak", 10_000, 0.5)
     strong = Candidate("n8", "strong", 10_000, 2.1)
@@ -65,6 +65,6 @@
     assert successor([weak, strong, nearly], "nearly") == strong
 
 
-def test_a_leaving_runner_names_another() -> None:
+def test_a_leaving_runner_chooses_another_node() -> None:
     assert successor([OWN, OTHER], "own") == OTHER
     assert successor([OWN], "own") is None
--- a/tests/durable/test_item_decisions.py
+++ b/tests/durable/test_item_decisions.py
@@ -1,4 +1,4 @@
-"""What becomes of items, runs and engines: the decisions, by table."""
+"""Tables of the decisions on items, runs and failures."""
 
 import math
 
@@ -22,12 +22,12 @@
 
 
 @pytest.mark.parametrize(
-    ("standing", "want"),
+    ("status", "want"),
     [
         (ItemStatus(1.0, 12.0, False, True, False), ItemAction.GENERATE),
         (ItemStatus(1.0, 12.0, False, True, True), ItemAction.SCORE),
         (ItemStatus(1.0, 12.0, False, False, False), ItemAction.REGENERATE),
-        # A whole text that the step does not allow is made anew, not scored.
+        # A complete text that the step does not allow is generated again, not scored.
         (ItemStatus(1.0, 12.0, False, False, True), ItemAction.REGENERATE),
         (ItemStatus(1.0, 12.0, True, True, False), ItemAction.BACK_OFF),
         (ItemStatus(12.0, 12.0, False, True, True), ItemAction.GIVE_UP),
@@ -35,8 +35,8 @@
         (ItemStatus(999.0, 0.0, False, True, False), ItemAction.GENERATE),
     ],
 )
-def test_what_an_item_needs_next(standing: ItemStatus, want: ItemAction) -> None:
-    assert next_action(standing) is want
+def test_next_action(status: ItemStatus, want: ItemAction) -> None:
+    assert next_action(status) is want
 
 
 def engine(
@@ -52,24 +52,24 @@
 @pytest.mark.parametrize(
     ("runs", "engines", "want"),
     [
-        # A run on an engine three times slower than typical goes on at one with a place.
+        # A run on an engine three times slower than the median moves to a free slot.
         ([run("a", 3.0)], [engine("e1")], ["a"]),
-        # No more of them than there are places at faster engines.
+        # No more runs move than faster engines have free slots.
         ([run("a", 3.0), run("b", 3.0)], [engine("e1", running=3)], ["a"]),
         ([run("a", 3.0)], [engine("e1", running=4)], []),
         ([run("a", 3.0)], [engine("e1", slowness=1.5)], []),
         ([run("a", 3.0)], [engine("e1", accepts=False)], []),
-        # A little slower, hardly begun, or asked already: it stays.
+        # Only a little slower, just started, or already moving: the run stays.
         ([run("a", 1.9)], [engine("e1")], []),
         ([run("a", 3.0, MIN_EVENTS_BEFORE_MOVE - 1)], [engine("e1")], []),
         ([run("a", 3.0, moving=True), run("b", 3.0)], [engine("e1")], ["b"]),
     ],
 )
-def test_which_runs_move(runs: list[RunView], engines: list[EngineView], want: list[str]) -> None:
+def test_runs_to_move(runs: list[RunView], engines: list[EngineView], want: list[str]) -> None:
     assert [name[1] for name in runs_to_move(runs, engines)] == want
 
 
-def pressed(
+def late_run(
     item: str,
     slowness: float,
     remaining_s: float,
@@ -85,26 +85,26 @@
 @pytest.mark.parametrize(
     ("runs", "engines", "want"),
     [
-        # Late at its engine of two thirds of the pace, in time at another.
-        ([pressed("a", 1.3, 4.0, 5.0)], [engine("e1")], ["a"]),
-        # In time where it is, or no better elsewhere.
-        ([pressed("a", 1.3, 3.0, 5.0)], [engine("e1")], []),
-        ([pressed("a", 1.3, 4.0, 5.0)], [engine("e1", slowness=1.2)], []),
-        ([pressed("a", 1.3, 0.5, 0.2)], [engine("e1")], []),
-        # One place: the one that has less to spare.
+        # Late on its slower engine, in time on another.
+        ([late_run("a", 1.3, 4.0, 5.0)], [engine("e1")], ["a"]),
+        # In time on its engine, or no relevant gain elsewhere.
+        ([late_run("a", 1.3, 3.0, 5.0)], [engine("e1")], []),
+        ([late_run("a", 1.3, 4.0, 5.0)], [engine("e1", slowness=1.2)], []),
+        ([late_run("a", 1.3, 0.5, 0.2)], [engine("e1")], []),
+        # One free slot: the run with less slack.
         (
-            [pressed("a", 1.3, 4.0, 5.0), pressed("b", 1.3, 4.0, 4.0)],
+            [late_run("a", 1.3, 4.0, 5.0), late_run("b", 1.3, 4.0, 4.0)],
             [engine("e1", running=3)],
             ["b"],
         ),
-        # Weights that may not go on with the text.
-        ([pressed("a", 1.3, 4.0, 5.0, min_version=2)], [engine("e1")], []),
-        # Its engine leaves before the text is whole, or after it.
-        ([pressed("a", 1.0, 4.0, 9.0, 2.0)], [engine("e1")], ["a"]),
-        ([pressed("a", 1.0, 1.5, 9.0, 2.0)], [engine("e1")], []),
+        # The other engine's weights are too old for the step.
+        ([late_run("a", 1.3, 4.0, 5.0, min_version=2)], [engine("e1")], []),
+        # Its engine stops before the text is complete, or after that.
+        ([late_run("a", 1.0, 4.0, 9.0, 2.0)], [engine("e1")], ["a"]),
+        ([late_run("a", 1.0, 1.5, 9.0, 2.0)], [engine("e1")], []),
     ],
 )
-def test_a_text_that_would_be_late_goes_on_at_a_faster_engine(
+def test_a_text_that_would_be_late_moves_to_a_faster_engine(
     runs: list[RunView], engines: list[EngineView], want: list[str]
 ) -> None:
     """Guards against a step that waits for one long text on the slowest kind of engine."""
@@ -115,10 +115,10 @@
     ("made", "hinted", "most", "want"),
     [(0, 18, 134, 18), (10, 18, 134, 8), (18, 18, 134, 36), (60, 18, 134, 74), (134, 18, 134, 0)],
 )
-def test_a_text_that_outlasts_its_hint_is_expected_to_go_on(
+def test_a_text_longer_than_its_hint_is_expected_to_grow(
     made: int, hinted: int, most: int, want: int
 ) -> None:
-    """Guards against a long text that looks all but done because its hint was short."""
+    """Guards against a long text that looks nearly complete because its hint was short."""
     assert expected_remaining_events(made, hinted, most) == want
 
 
@@ -138,12 +138,10 @@
         ),
     ],
 )
-def test_what_follows_a_run_that_failed(
-    reason: GenerationEnd, failures: int, want: FailureResponse
-) -> None:
+def test_failure_response(reason: GenerationEnd, failures: int, want: FailureResponse) -> None:
     assert failure_response(reason, failures, max_attempts=3) == want
 
 
-def test_an_item_rests_a_moment_after_an_engine_failed_it() -> None:
-    """An engine that fails an item at once would otherwise be asked as fast as it answers."""
+def test_an_item_backs_off_after_a_failed_run() -> None:
+    """An engine that fails an item at once would otherwise be called in a tight loop."""
     assert failure_response(GenerationEnd.FAILED, 1, 3).item_backoff_s == ITEM_BACKOFF_S > 0.0
--- a/tests/durable/test_item_run.py
+++ b/tests/durable/test_item_run.py
@@ -1,4 +1,4 @@
-"""One item's stream: what is taken into its text, and when the run ends before that."""
+"""Tests of a single run: which events enter the draft, and when the run ends early."""
 
 import asyncio
 from collections.abc import AsyncGenerator, Sequence
@@ -17,7 +17,7 @@
 
 
 class OneStream:
-    """Yields some pieces and ends; notes what was asked and whether it was closed."""
+    """Streams the given pieces; records the calls and whether the stream was closed."""
 
     def __init__(self, pieces: Sequence[Piece]) -> None:
         self.pieces = pieces
@@ -57,7 +57,7 @@
     return [Piece(first + at, f"{first + at}", version) for at, version in enumerate(versions)]
 
 
-def test_a_whole_stream_makes_the_text_and_tells_of_the_engine() -> None:
+def test_a_complete_stream_fills_the_draft_and_the_engine_statistics() -> None:
     run, stats, engine = make_run(), EngineStats(), OneStream(pieces(3, 3, 4))
     stream(run, engine, stats)
     assert run.draft.complete
@@ -68,7 +68,7 @@
     assert engine.closed
 
 
-def test_a_run_goes_on_behind_the_last_event() -> None:
+def test_a_run_resumes_after_the_last_event() -> None:
     run = make_run()
     run.draft.begin_run("r0")
     run.draft.add(1, "1", 1)
@@ -81,17 +81,17 @@
 @pytest.mark.parametrize(
     ("sent", "min_version", "single_version", "kept"),
     [
-        # A sample may hold no event that was made by weights older than its step accepts.
+        # A sample must not contain events of weights older than its step allows.
         (pieces(2, 1), 2, False, "1"),
-        # An event that is missing or comes twice must not get into a text.
+        # A gap or a duplicate event must not enter the text.
         ([*pieces(1), *pieces(1, first=3)], 1, False, "1"),
         ([*pieces(1), *pieces(1)], 1, False, "1"),
-        # Weights change in the middle of a text that must be made by one version: made anew.
+        # The weights change within a text that requires a single version: discarded.
         (pieces(1, 2), 1, True, ""),
         ([], 1, False, ""),
     ],
 )
-def test_a_stream_that_does_not_fit_breaks_off(
+def test_an_invalid_stream_ends_the_run(
     sent: Sequence[Piece], min_version: int, single_version: bool, kept: str
 ) -> None:
     run = make_run(min_version=min_version, single_version=single_version)
@@ -104,7 +104,7 @@
     assert engine.closed
 
 
-def test_a_run_that_is_moved_ends_at_its_next_event() -> None:
+def test_a_run_with_a_requested_move_ends_at_its_next_event() -> None:
     run, engine = make_run(), OneStream(pieces(1, 1, 1, 1))
     run.move_requested = True
     with pytest.raises(GenerationError):
--- a/tests/durable/test_paces.py
+++ b/tests/durable/test_paces.py
@@ -1,4 +1,4 @@
-"""What is learned of engines from their streams."""
+"""Tests of the engine statistics that a runner derives from streams."""
 
 import pytest
 
@@ -13,7 +13,7 @@
     return engine_stats
 
 
-def test_before_any_event_the_pace_is_a_guess() -> None:
+def test_the_default_interval_is_used_before_any_event() -> None:
     assert EngineStatsTable().median_event_interval_s() == DEFAULT_EVENT_INTERVAL_S
     assert EngineStatsTable().slowness("e1") == 1.0
 
@@ -21,15 +21,15 @@
 @pytest.mark.parametrize(
     ("instance", "want"), [("a", 1.0), ("b", 1.0), ("slow", 3.0), ("unseen", 1.0)]
 )
-def test_an_engine_is_slow_beside_the_typical_one(instance: str, want: float) -> None:
+def test_slowness_is_relative_to_the_median_engine(instance: str, want: float) -> None:
     engine_stats = table(a=0.04, b=0.04, slow=0.12)
     assert engine_stats.slowness(instance) == pytest.approx(want, rel=0.01)
 
 
-def test_an_engine_that_turned_slow_is_known_after_some_events() -> None:
-    """An engine turns three times slower in the middle of a day.
+def test_an_engine_that_became_slow_is_detected_within_a_few_events() -> None:
+    """An engine becomes three times slower after a long time at normal speed.
 
-    A mean over all its events would take minutes to show it, while its items are late.
+    A mean over all its events would take minutes to show that, while its items are late.
     """
     engine_stats = table(a=0.04, b=0.04, c=0.04)
     for _ in range(8):
@@ -37,7 +37,7 @@
     assert engine_stats.slowness("a") > 2.5
 
 
-def test_the_highest_version_that_was_seen_counts() -> None:
+def test_the_highest_seen_version_is_kept() -> None:
     stats = EngineStatsTable().of("e1")
     stats.note_version("m", 3)
     stats.note_version("m", 2)
--- a/tests/durable/test_planner.py
+++ b/tests/durable/test_planner.py
@@ -1,4 +1,4 @@
-"""Which item starts next, and where: each load pattern with the decision that answers it."""
+"""Tests of placement planning, each for one load pattern."""
 
 import pytest
 
@@ -24,18 +24,18 @@
     return view._replace(**changes)  # type: ignore[arg-type]
 
 
-def test_the_longest_text_starts_first_and_the_spare_group_last() -> None:
+def test_the_longest_text_starts_first_and_the_optional_group_last() -> None:
     """A step takes as long as its longest text.
 
-    Started behind the short ones, a long text ends after the step is due, and the trainer
-    waits. The group that it can do without may be the longest of all.
+    A long text that starts after the short ones ends after the deadline, and the trainer waits.
+    The group that the trainer does not need may be the longest of all.
     """
     items = [pending("a", 500), pending("b", 3000), pending("c", 9000), pending("d", 5000)]
     ordered = order_items(items, {"s1": 0.75}, TOKEN_S)
     assert [i.item_id for i in ordered] == ["d", "b", "a", "c"]
 
 
-def test_a_carried_group_is_never_the_spare_one() -> None:
+def test_a_carried_over_group_is_never_optional() -> None:
     items = [
         pending("a", 500),
         pending("b", 9000, carried=True),
@@ -47,8 +47,8 @@
     assert ordered[-1].item_id == "c"
 
 
-def test_a_long_text_of_the_next_step_goes_before_a_short_one_of_this() -> None:
-    """Steps overlap: while this one's last texts are made, the next one's longest must start."""
+def test_a_long_text_of_the_next_step_starts_before_a_short_one_of_this_step() -> None:
+    """Steps overlap: the next step's longest texts must start while this step completes."""
     items = [pending("short", 500, due=3.5), pending("long", 6500, due=7.5)]
     ordered = order_items(items, {}, TOKEN_S)
     assert [i.item_id for i in ordered] == ["long", "short"]
@@ -71,29 +71,29 @@
     ],
     ids=[
         "fewer runs",
-        "typical pace",
+        "median speed",
         "allowed version",
         "model not loading",
-        "not resting",
-        "prompt read there",
-        "long with few neighbours",
-        "long not on the newest for its own sake",
-        "room in memory",
-        "no place",
+        "not backing off",
+        "prompt already processed",
+        "long with few concurrent runs",
+        "newest version not preferred",
+        "free memory",
+        "no free slot",
         "no engine",
     ],
 )
-def test_where_an_item_goes(engines: list[EngineView], tokens: int, want: str | None) -> None:
+def test_engine_choice(engines: list[EngineView], tokens: int, want: str | None) -> None:
     placed = place_items([pending("x", tokens)], engines, TOKEN_S)
     assert [p.instance for p in placed] == ([want] if want else [])
 
 
-def test_a_text_larger_than_any_room_still_gets_an_idle_engine() -> None:
+def test_a_text_larger_than_the_engine_memory_still_gets_an_idle_engine() -> None:
     placed = place_items([pending("x", 90_000)], [engine("a")], TOKEN_S)
     assert [p.instance for p in placed] == ["a"]
 
 
-def test_a_burst_fills_every_place_and_no_more() -> None:
+def test_a_burst_fills_exactly_the_available_slots() -> None:
     items = [pending(f"i{n}", 600) for n in range(40)]
     placed = place_items(items, [engine("a"), engine("b"), engine("c")], TOKEN_S)
     counts = {name: sum(p.instance == name for p in placed) for name in "abc"}
@@ -108,7 +108,7 @@
         (pending("x", 6000), True, False),
     ],
 )
-def test_only_an_item_without_place_and_time_presses(
+def test_only_an_item_without_slot_and_slack_is_urgent(
     left: PendingItem, placed: bool, want: bool
 ) -> None:
     placements = place_items([left], [engine("a")] if placed else [], TOKEN_S)
@@ -116,11 +116,11 @@
     assert (short is not None and short.urgent) is want
 
 
-def test_a_run_goes_where_a_connection_waits() -> None:
-    """A service has hundreds of engines and a step some dozen items.
+def test_an_engine_with_an_idle_connection_is_preferred() -> None:
+    """A service has hundreds of engines, and a step some dozen items.
 
-    Placed on an engine that had none yet, each run opens a new connection, and the engines'
-    bound on connections fills with idle ones.
+    If every run went to another engine, each would open a new connection, and idle connections
+    would use up the engines' connection limit.
     """
     engines = [engine(f"e{number}") for number in range(5)]
     engines[3] = engines[3]._replace(warm=True)
@@ -128,14 +128,14 @@
     assert [place.instance for place in placed] == ["e3"]
 
 
-def test_a_warm_engine_is_not_crowded_while_others_stand_idle() -> None:
+def test_an_idle_engine_is_preferred_over_a_busy_one_with_a_connection() -> None:
     engines = [engine("idle"), engine("warm", running=4)._replace(warm=True)]
     placed = place_items([pending("a", 500)], engines, TOKEN_S)
     assert [place.instance for place in placed] == ["idle"]
 
 
-def test_the_workspace_of_the_higher_rank_starts_first_and_starves_nobody() -> None:
-    """Guards against a rank that changes nothing, and against one that others wait for in vain."""
+def test_a_workspace_of_higher_priority_starts_first_without_starvation() -> None:
+    """Guards against a priority without effect, and against one that starves other workspaces."""
     low = pending("low", 500)._replace(priority=7)
     high = pending("high", 500)._replace(priority=1)
     late = pending("late", 500)._replace(priority=9, due_in_s=low.due_in_s - 6.0)
--- a/tests/durable/test_runner.py
+++ b/tests/durable/test_runner.py
@@ -1,4 +1,4 @@
-"""The work of a service: runs, scores and listing, with engines that fail."""
+"""Tests of a service's runner: runs, scoring and listing with failing engines."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 from .steps import finished, step
 
 
-def test_a_step_is_made_scored_and_listed_once() -> None:
+def test_every_item_is_generated_scored_and_listed_once() -> None:
     async def body(stage: RunnerStage) -> None:
         await stage.accept(step(items=6, reward=True))
         await stage.listed(6)
@@ -25,11 +25,11 @@
     assert len(stage.engines.calls) == 6
 
 
-def test_a_reported_version_gives_waiting_items_their_place() -> None:
-    """Engines load a version, and their registrations say so only seconds later.
+def test_a_reported_version_releases_waiting_items() -> None:
+    """Registrations show a loaded version seconds late, or not at all during a store outage.
 
-    While the store is away they do not at all. The items that wait for the version would wait
-    with it: a step stands still although every engine could make it.
+    Items that wait for the version must start when the engine itself reports it; otherwise the
+    step stalls although every engine could run it.
     """
 
     async def body(stage: RunnerStage) -> None:
@@ -44,10 +44,10 @@
     assert {engine for engine, _call in stage.engines.calls} == {"e1"}
 
 
-def test_no_item_goes_where_its_model_is_being_loaded() -> None:
-    """An engine refuses the items of a model that it loads, for about a second.
+def test_no_item_is_placed_on_an_engine_that_loads_its_model() -> None:
+    """An engine refuses items of a model while it loads the model, for about a second.
 
-    Items placed there lose that second, and their step is late.
+    Items placed there lose that second, and their step misses its deadline.
     """
 
     async def body(stage: RunnerStage) -> None:
@@ -63,11 +63,10 @@
     assert {engine for engine, _call in stage.engines.calls} == {"e1", "e2"}
 
 
-def test_a_run_on_an_engine_that_turned_slow_goes_on_elsewhere() -> None:
-    """An engine turns ten times slower while it makes a text.
+def test_a_run_moves_away_from_an_engine_that_became_slow() -> None:
+    """An engine becomes ten times slower during a run.
 
-    The whole step waits for that text unless it goes on, from where it is, at an engine with a free
-    place.
+    The step would wait for that text unless the run is resumed on an engine with a free slot.
     """
 
     async def body(stage: RunnerStage) -> None:
@@ -88,19 +87,19 @@
 
 @pytest.fixture
 def patient(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No run is given up for its silence."""
+    """Disable the timeout for the first event of a run."""
     monkeypatch.setattr("samphirecleat.durable._item_run.FIRST_EVENT_TIMEOUT_S", 1e6)
 
 
 @pytest.mark.parametrize(
     "end", [GenerationEnd.BROKEN, GenerationEnd.REFUSED, GenerationEnd.FAILED, GenerationEnd.SILENT]
 )
-def test_an_item_goes_on_after_a_run_that_ended_early(
+def test_an_item_is_resumed_after_a_run_that_ended_early(
     end: GenerationEnd, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An engine refuses an item, fails it, breaks it off or falls silent.
+    """An engine refuses an item, fails it, cuts off its stream or stops sending.
 
-    A trainer that waits for the item must get it all the same, with no event missing or twice.
+    The trainer must still get the item, without missing or duplicate events.
     """
     monkeypatch.setattr("samphirecleat.durable._item_run.FIRST_EVENT_TIMEOUT_S", 0.1)
 
@@ -115,12 +114,12 @@
     assert texts == ["\n".join(str(n) for n in range(1, EVENTS + 1))] * 2
 
 
-def test_an_engine_that_fell_silent_gets_nothing_for_a_while(
+def test_an_engine_that_stopped_sending_gets_no_items_during_its_backoff(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A silent engine takes every item that is sent there and answers none.
+    """A hung engine accepts every item and never sends an event.
 
-    Without a rest it would get the same item again at once, and the step would never end.
+    Without a backoff the same item would be sent there again at once, and the step would never end.
     """
     monkeypatch.setattr("samphirecleat.durable._item_run.FIRST_EVENT_TIMEOUT_S", 0.1)
     monkeypatch.setattr("samphirecleat.durable._item_decisions.ENGINE_BACKOFF_S", 30.0)
@@ -144,7 +143,7 @@
         (GenerationEnd.IMPOSSIBLE, 1, True),
     ],
 )
-def test_an_item_is_dead_only_after_what_allows_it(
+def test_an_item_is_given_up_only_after_the_allowed_failures(
     end: GenerationEnd, times: int, dead: bool
 ) -> None:
     async def body(stage: RunnerStage) -> None:
@@ -156,7 +155,7 @@
     assert stage.results() == {"s1-0": not dead}
 
 
-def test_an_item_is_dead_when_its_reward_failed_for_good() -> None:
+def test_an_item_is_given_up_when_its_reward_call_fails_permanently() -> None:
     async def body(stage: RunnerStage) -> None:
         stage.scorer.signature = ""
         await stage.accept(step(items=2, reward=True))
@@ -165,7 +164,7 @@
     assert not any(play(["e1"], body).results().values())
 
 
-def test_an_item_that_may_be_given_up_is() -> None:
+def test_an_item_is_given_up_after_the_retention_time() -> None:
     async def body(stage: RunnerStage) -> None:
         stage.offer([])
         await stage.accept(step(items=2))
@@ -176,11 +175,11 @@
     assert not stage.engines.calls
 
 
-def test_runs_and_scores_of_an_ended_step_end_with_it(patient: None) -> None:
-    """A trainer has enough and ends its step.
+def test_runs_and_scores_are_cancelled_when_their_step_ends(patient: None) -> None:
+    """A trainer has enough results and ends its step.
 
-    What still runs for it would take places and time from the next step, and a target must not get
-    work of an ended step.
+    Remaining runs would occupy slots that the next step needs, and targets must not get work of
+    an ended step.
     """
 
     async def body(stage: RunnerStage) -> None:
@@ -196,10 +195,10 @@
     assert not stage.scorer.scored
 
 
-def test_a_text_that_was_whole_before_the_runner_came_is_only_scored() -> None:
-    """A runner is lost after a text was whole and saved.
+def test_a_restored_complete_text_is_only_scored() -> None:
+    """A runner fails after a complete text was saved.
 
-    Its heir that made the text again would cost the step the whole length of the text.
+    If the next runner generated the text again, the step would be delayed by its full length.
     """
 
     async def body(stage: RunnerStage) -> None:
@@ -215,10 +214,10 @@
     assert stage.scorer.scored == ["s1-0"]
 
 
-def test_a_draft_of_weights_that_the_step_does_not_allow_is_made_anew() -> None:
-    """A group comes again in a later step, which wants newer weights than its text has.
+def test_a_draft_of_too_old_weights_is_generated_again() -> None:
+    """A group returns in a later step that requires newer weights than its draft has.
 
-    Going on with it would deliver a sample that is too old.
+    Resuming the draft would deliver a sample of outdated weights.
     """
 
     async def body(stage: RunnerStage) -> None:
@@ -235,7 +234,7 @@
     assert list(stage.step_log.fold.steps["s1"].results[0].versions) == [2]
 
 
-def test_what_found_no_place_is_told_to_the_loads_of_weights() -> None:
+def test_items_without_a_slot_are_counted_in_the_demand_for_weights() -> None:
     async def body(stage: RunnerStage) -> None:
         await stage.accept(step(items=2, min_version=5))
         await until(lambda: bool(stage.work.shortages))
@@ -249,10 +248,10 @@
     play(["e1"], body)
 
 
-def test_a_runner_that_ends_closes_its_runs(patient: None) -> None:
-    """The claim of a service goes to another node.
+def test_a_stopped_runner_closes_its_runs(patient: None) -> None:
+    """Another node takes over the claim of a service.
 
-    Runs that went on here would hold places at the engines beside the runs of the new one.
+    Runs that continue here would occupy engine slots in addition to those of the new holder.
     """
 
     async def body(stage: RunnerStage) -> None:
@@ -266,10 +265,10 @@
     play(["e1"], body)
 
 
-def test_an_engine_that_is_slow_is_not_counted_on() -> None:
-    """An engine at a third of the others' pace makes no text of the next step in time.
+def test_a_slow_engine_does_not_count_as_ready() -> None:
+    """An engine at a third of the others' speed completes no text of the next step in time.
 
-    If it counted as ready for a version, no faster engine would be brought to that version.
+    If it counted as ready for a version, no faster engine would load that version.
     """
 
     async def body(stage: RunnerStage) -> None:
@@ -281,10 +280,10 @@
     play(["e1", "e2", "e3"], body)
 
 
-def test_an_item_listed_elsewhere_is_not_run_on(patient: None) -> None:
-    """Two nodes run a service for a moment, and the other one lists an item first.
+def test_a_run_is_cancelled_when_another_node_lists_its_item(patient: None) -> None:
+    """Two nodes run a service for a short time, and the other one lists an item first.
 
-    Its run here would hold a place for a text that nobody wants.
+    The run on this node would occupy a slot for a text that is no longer needed.
     """
 
     async def body(stage: RunnerStage) -> None:
@@ -297,10 +296,10 @@
     play(["e1"], body)
 
 
-def test_an_item_that_ends_its_engines_runs_seldom_and_the_others_are_made() -> None:
-    """An item's prompt crashes each engine that begins to run it, and the item can't be given up.
+def test_an_item_that_crashes_engines_is_retried_rarely_and_others_complete() -> None:
+    """An item's prompt crashes every engine that starts it, and the item can't be given up.
 
-    Made anew at the next engine at once, it took all engines of its service down, again and again.
+    Retried at once on the next engine, it repeatedly took down all engines of its service.
     """
 
     async def body(stage: RunnerStage) -> None:
--- a/tests/durable/test_scorer.py
+++ b/tests/durable/test_scorer.py
@@ -1,4 +1,4 @@
-"""Scores of whole texts: repeated until one comes, few at once, and given up only by rule."""
+"""Tests of reward calls: retries, the concurrency limit, and giving up."""
 
 import asyncio
 import random
@@ -30,7 +30,7 @@
 
 
 class Channel:
-    """Answers by a script, then with a success; knows how many calls were there at once."""
+    """Answers as scripted, then with successes; records the highest number of concurrent calls."""
 
     def __init__(self, *replies: TargetAnswer | TargetFault) -> None:
         self.replies = list(replies)
@@ -70,7 +70,7 @@
     return asyncio.run(body())
 
 
-def test_the_score_is_the_signature_of_a_success() -> None:
+def test_the_score_is_the_signature_of_a_successful_call() -> None:
     assert score(Channel()) == ["sig"]
 
 
@@ -83,29 +83,29 @@
 @pytest.mark.parametrize(
     "reply", [TargetFault("reset", Ran.UNKNOWN), TargetFault("full", Ran.NO, refused=True)]
 )
-def test_a_call_that_got_no_answer_is_made_again(reply: TargetFault) -> None:
-    """The scoring service refuses, or loses answers, for a second.
+def test_a_call_without_an_answer_is_retried(reply: TargetFault) -> None:
+    """The scoring service refuses calls or loses answers for a second.
 
-    Only failures that it answered may make an item dead: the trainer would lose a sample.
+    Only failures that it answered may give up an item; otherwise the trainer loses a sample.
     """
     assert score(Channel(*[reply] * 12)) == ["sig"]
 
 
-def test_a_reward_that_always_fails_ends() -> None:
-    """A few rewards fail each time they are called.
+def test_a_reward_that_always_fails_is_given_up() -> None:
+    """Some reward calls fail every time.
 
-    An item that waited for one for good would hold a step's group until its deadline.
+    An item that retried them forever would delay its group until the step's deadline.
     """
     channel = Channel(*[FAILED] * 99)
     assert score(channel) == [""]
-    # As many failures as the item's route allows, each told after all attempts of a try.
+    # As many failures as the item's route allows, each after all attempts of a call.
     assert channel.calls == 6
 
 
-def test_scores_leave_places_for_callers() -> None:
-    """Short texts of a step end together, and all their scores are called for at once.
+def test_reward_calls_leave_slots_for_callers() -> None:
+    """Short texts of a step complete together, and all their reward calls start at once.
 
-    Without a bound they would take every place of the service, and its callers would wait.
+    Without a limit they would take every slot of the service, and callers would wait.
     """
     channel = Channel()
     score(channel, 30)
--- a/tests/durable/test_server_orders.py
+++ b/tests/durable/test_server_orders.py
@@ -1,4 +1,4 @@
-"""Orders of spot targets: repeated, lost, refused, late, and never on an old view."""
+"""Tests of spot target orders: repeated, lost, refused, late, and never on stale data."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,7 +26,7 @@
 
 
 class FakePlatform:
-    """Takes orders; ``answers`` says what becomes of the next ones, ``dry`` zones have none."""
+    """Accepts orders; ``answers`` scripts the next outcomes, zones in ``exhausted`` have none."""
 
     def __init__(self) -> None:
         self.spot: dict[str, int] = {}
@@ -48,7 +48,7 @@
 
 
 class Stage:
-    """A service of two ordinary engines in each of two zones, and a wave of items."""
+    """A service with two ordinary engines in each of two zones, and a wave of items."""
 
     def __init__(self, items: int) -> None:
         self.items = items
@@ -62,7 +62,7 @@
         )
         self.routes.put(RoutingConfig(1, (), {"svc": spec}, CallerLimits()))
         self.offer(spot={})
-        inner.work.items_to_make = lambda: self.items  # type: ignore[method-assign]
+        inner.work.items_to_generate = lambda: self.items  # type: ignore[method-assign]
         self.orderer = ServerOrderer(
             inner.work,
             self.routes,
@@ -74,7 +74,7 @@
         )
 
     def offer(self, spot: dict[str, int]) -> None:
-        """Have two ordinary engines in each zone registered, and some spot ones."""
+        """Register two ordinary engines in each zone, and spot ones by zone."""
         rows = [(f"{zone}{n}", zone, False) for zone in PRICES for n in range(2)]
         rows += [(f"s{zone}{n}", zone, True) for zone, count in spot.items() for n in range(count)]
         self.targets.replace(
@@ -102,8 +102,8 @@
         monkeypatch.setattr(f"samphirecleat.durable._server_orders.{name}", 0.02)
 
 
-def test_a_wave_brings_targets_and_is_remembered() -> None:
-    """Guards against targets that go between two waves and boot too late for the next."""
+def test_targets_are_ordered_for_a_wave_and_kept_after_it() -> None:
+    """Guards against targets released between two waves, which boot too late for the next."""
     stage = Stage(items=20)
     stage.drive(lambda: sum(stage.platform.spot.values()) == 3, 0.0)
     stage.items = 0
@@ -113,7 +113,7 @@
     assert len(stage.platform.calls) == calls
 
 
-def test_when_the_peak_is_over_the_targets_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_targets_are_released_when_the_peak_has_passed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("samphirecleat.durable._server_orders.PEAK_WINDOW_S", 0.1)
     stage = Stage(items=20)
     stage.drive(lambda: sum(stage.platform.spot.values()) == 3)
@@ -128,15 +128,15 @@
     stage.drive(lambda: sum(stage.platform.spot.values()) == 3)
 
 
-def test_a_zone_with_none_to_give_is_made_up_for_by_the_other() -> None:
-    """Guards against a planner that waits for the zone whose targets were just reclaimed."""
+def test_another_zone_substitutes_for_an_exhausted_one() -> None:
+    """Guards against waiting for a zone whose targets were just reclaimed."""
     stage = Stage(items=20)
     stage.platform.answers = [ScaleOutcome.NONE_OR_FENCED]
     stage.drive(lambda: sum(stage.platform.spot.values()) == 3)
 
 
-def test_an_older_order_that_was_carried_out_late_is_put_right() -> None:
-    """Guards against a zone that keeps what an order of long ago said."""
+def test_an_old_order_that_takes_effect_late_is_corrected() -> None:
+    """Guards against a zone that stays at the number of an outdated order."""
     stage = Stage(items=20)
     stage.drive(lambda: sum(stage.platform.spot.values()) == 3)
     ordered = len(stage.platform.calls)
@@ -145,16 +145,16 @@
 
 
 @pytest.mark.parametrize("fault", ["sees_targets", "may_act"])
-def test_nothing_is_ordered_on_an_old_view_or_claim(fault: str) -> None:
-    """Guards against a fleet that sees no targets and orders as many as it may."""
+def test_nothing_is_ordered_on_stale_data_or_claims(fault: str) -> None:
+    """Guards against a node that sees no targets and orders the maximum."""
     stage = Stage(items=200)
     setattr(stage, fault, False)
     stage.drive(lambda: True, 0.2)
     assert stage.platform.calls == []
 
 
-def test_what_stands_in_for_a_dry_zone_stays_until_that_zone_gives_again() -> None:
-    """Guards against targets that come and go with each try for a zone that has none."""
+def test_substitutes_for_an_exhausted_zone_stay_until_it_has_capacity() -> None:
+    """Guards against releasing and reordering substitutes on every retry of an exhausted zone."""
     stage = Stage(items=20)
     stage.platform.exhausted = {"zb"}
     stage.drive(lambda: stage.platform.spot.get("za") == 3)
--- a/tests/durable/test_server_plan.py
+++ b/tests/durable/test_server_plan.py
@@ -1,4 +1,4 @@
-"""How many spot targets are ordered where: the decision, by table, and its load patterns."""
+"""Tests of the number of spot targets planned per zone."""
 
 from collections.abc import Mapping, Sequence
 
@@ -28,41 +28,41 @@
 @pytest.mark.parametrize(
     ("supply", "wanted", "terms", "want"),
     [
-        # What ordinary targets cover needs no other.
+        # Ordinary targets suffice.
         (FULL, 22, scaling(), {"a": 0, "b": 0, "c": 0}),
-        # The rest is spread evenly, the cheaper zones first.
+        # The gap is spread evenly, cheaper zones first.
         (FULL, 23, scaling(), {"a": 0, "b": 1, "c": 0}),
         (FULL, 24, scaling(), {"a": 1, "b": 1, "c": 0}),
         (FULL, 29, scaling(), {"a": 2, "b": 3, "c": 2}),
-        # Ordinary targets that are lost are made up for.
+        # Lost ordinary targets are replaced.
         (zones(("a", 8, 0), ("b", 0, 0), ("c", 7, 0)), 22, scaling(), {"a": 2, "b": 3, "c": 2}),
-        # No zone gets more than it may have of both kinds.
+        # No zone exceeds its maximum of ordinary and spot targets.
         (FULL, 30, scaling(maximum=8), {"a": 0, "b": 1, "c": 1}),
-        # A dry zone keeps what it has, and the others take its part.
+        # An exhausted zone keeps its number, and the others take its share.
         (EXHAUSTED_A, 26, scaling(), {"a": 2, "b": 1, "c": 1}),
         (ALL_EXHAUSTED, 40, scaling(), {"a": 0, "b": 0, "c": 0}),
-        # A zone without a price is none that targets can be ordered for.
+        # No targets are ordered in a zone without a price.
         (FULL, 24, scaling(prices={"b": 1.0}), {"b": 2}),
-        # Where spot targets are not cheaper, or not offered, none is ordered.
+        # Spot targets that are not offered, or not cheaper, are not ordered.
         (FULL, 40, scaling(spot_price=0.0), {}),
         (FULL, 40, scaling(spot_price=1.0), {}),
-        # As dear as that, a quarter of the ordinary ones' price buys few.
+        # The cost limit, a quarter of the ordinary targets' cost, allows few at this price.
         (FULL, 99, scaling(spot_price=0.9), {"a": 2, "b": 2, "c": 2}),
         ([], 10, scaling(), {}),
     ],
 )  # fmt: skip
-def test_what_is_ordered(
+def test_plan_spot_targets(
     supply: Sequence[ZoneCapacity], wanted: int, terms: ScalingSpec, want: Mapping[str, int]
 ) -> None:
     assert plan_spot_targets(supply, wanted, terms) == want
 
 
-def test_the_reclaim_of_one_zone_takes_a_third_of_the_spot_targets() -> None:
-    """Guards against spot targets that all stand in the cheapest zone and go at once."""
+def test_spot_targets_are_spread_evenly_over_zones() -> None:
+    """Guards against spot targets all in the cheapest zone, which may be reclaimed together."""
     plan = plan_spot_targets(FULL, 40, scaling())
     assert max(plan.values()) - min(plan.values()) <= 1
 
 
-def test_a_wave_that_moves_is_covered_with_room_for_loads() -> None:
+def test_a_wave_is_covered_with_a_margin_for_weight_loads() -> None:
     assert targets_for_wave(208, 8) * 8 >= 1.2 * 208
     assert targets_for_wave(0, 8) == 0
