--- a/samphirecleat/durable/_item_run.py
+++ b/samphirecleat/durable/_item_run.py
@@ -9,9 +9,9 @@
 
 from ..serving import MIDDLE_PRIORITY, Target
 from ._drafts import Draft
+from ._engine_stats import EngineStats
 from ._item_decisions import ItemName
 from ._open_item import OpenItem
-from ._paces import EngineStats
 from ._ports import GenerationCall, GenerationChannel, GenerationEnd, GenerationError, Piece
 
 # A run is aborted after this long without an event. Engines emit one about every 40 ms and pause
--- a/samphirecleat/durable/_run_pool.py
+++ b/samphirecleat/durable/_run_pool.py
@@ -5,9 +5,9 @@
 
 from ..crashes import CrashGuard
 from ..observe import Observer
+from ._crash_backoff import CrashBackoff
 from ._drafts import DraftStore
 from ._finisher import Finisher
-from ._item_bound import CrashBackoff
 from ._item_decisions import ItemName, failure_response
 from ._item_run import ItemRun, stream_item
 from ._open_item import OpenItem
--- a/samphirecleat/durable/_service_work.py
+++ b/samphirecleat/durable/_service_work.py
@@ -9,10 +9,10 @@
 from collections.abc import Mapping, Sequence
 
 from ..serving import Route, RouteTable, Target, TargetTable
+from ._engine_stats import EngineStatsTable
 from ._fold import StepState
 from ._item_decisions import MAX_DESTINATION_SLOWNESS, ItemName
 from ._item_run import ItemRun
-from ._paces import EngineStatsTable
 from ._planner import EngineView, Shortage
 from ._service_view import ServiceView
 from ._step_log import StepLog
--- a/tests/durable/test_paces.py
+++ b/tests/durable/test_engine_stats.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from samphirecleat.durable._paces import DEFAULT_EVENT_INTERVAL_S, EngineStatsTable
+from samphirecleat.durable._engine_stats import DEFAULT_EVENT_INTERVAL_S, EngineStatsTable
 
 
 def table(**event_s: float) -> EngineStatsTable:
--- a/tests/durable/test_item_run.py
+++ b/tests/durable/test_item_run.py
@@ -7,10 +7,10 @@
 
 from samphirecleat.durable import GenerationCall, GenerationEnd, GenerationError, Piece
 from samphirecleat.durable._drafts import Draft
+from samphirecleat.durable._engine_stats import EngineStats
 from samphirecleat.durable._fold import StepFold
 from samphirecleat.durable._item_run import ItemRun, stream_item
 from samphirecleat.durable._open_item import OpenItem
-from samphirecleat.durable._paces import EngineStats
 from samphirecleat.serving import CallKind, Route, Target
 
 from .steps import accepted, step
--- a/tests/durable/test_runner.py
+++ b/tests/durable/test_runner.py
@@ -6,7 +6,7 @@
 
 from samphirecleat.crashes import FREE_ENDS, CrashLedger
 from samphirecleat.durable import GenerationEnd
-from samphirecleat.durable._item_bound import BARRED_BACKOFF_S
+from samphirecleat.durable._crash_backoff import BARRED_BACKOFF_S
 
 from ..crashes.guards import make_guard
 from ..fleets import until
