--- a/tests/durable/test_item_decisions.py
+++ b/tests/durable/test_item_decisions.py
@@ -1,4 +1,4 @@
-"""What becomes of items, runs and engines: the decisions, by table."""
+"""Tables of the decisions on items, runs and failures."""
 
 import math
 
@@ -6,37 +6,37 @@
 
 from samphirecleat.durable import EngineView, GenerationEnd
 from samphirecleat.durable._item_decisions import (
-    ENGINE_REST_S,
-    ITEM_REST_S,
-    MOVE_AFTER_EVENTS,
-    REFUSAL_REST_S,
-    Aftermath,
-    ItemStanding,
-    NextStep,
+    ENGINE_BACKOFF_S,
+    ITEM_BACKOFF_S,
+    MIN_EVENTS_BEFORE_MOVE,
+    REFUSAL_BACKOFF_S,
+    FailureResponse,
+    ItemAction,
+    ItemStatus,
     RunView,
-    after_failed_run,
-    expected_rest_events,
-    next_step,
+    expected_remaining_events,
+    failure_response,
+    next_action,
     runs_to_move,
 )
 
 
 @pytest.mark.parametrize(
-    ("standing", "want"),
+    ("status", "want"),
     [
-        (ItemStanding(1.0, 12.0, False, True, False), NextStep.MAKE),
-        (ItemStanding(1.0, 12.0, False, True, True), NextStep.SCORE),
-        (ItemStanding(1.0, 12.0, False, False, False), NextStep.MAKE_ANEW),
-        # A whole text that the step does not allow is made anew, not scored.
-        (ItemStanding(1.0, 12.0, False, False, True), NextStep.MAKE_ANEW),
-        (ItemStanding(1.0, 12.0, True, True, False), NextStep.REST),
-        (ItemStanding(12.0, 12.0, False, True, True), NextStep.GIVE_UP),
-        (ItemStanding(12.0, 12.0, True, False, False), NextStep.GIVE_UP),
-        (ItemStanding(999.0, 0.0, False, True, False), NextStep.MAKE),
+        (ItemStatus(1.0, 12.0, False, True, False), ItemAction.GENERATE),
+        (ItemStatus(1.0, 12.0, False, True, True), ItemAction.SCORE),
+        (ItemStatus(1.0, 12.0, False, False, False), ItemAction.REGENERATE),
+        # A complete text that the step does not allow is generated again, not scored.
+        (ItemStatus(1.0, 12.0, False, False, True), ItemAction.REGENERATE),
+        (ItemStatus(1.0, 12.0, True, True, False), ItemAction.BACK_OFF),
+        (ItemStatus(12.0, 12.0, False, True, True), ItemAction.GIVE_UP),
+        (ItemStatus(12.0, 12.0, True, False, False), ItemAction.GIVE_UP),
+        (ItemStatus(999.0, 0.0, False, True, False), ItemAction.GENERATE),
     ],
 )
-def test_what_an_item_needs_next(standing: ItemStanding, want: NextStep) -> None:
-    assert next_step(standing) is want
+def test_next_action(status: ItemStatus, want: ItemAction) -> None:
+    assert next_action(status) is want
 
 
 def engine(
@@ -52,57 +52,59 @@
 @pytest.mark.parametrize(
     ("runs", "engines", "want"),
     [
-        # A run on an engine three times slower than typical goes on at one with a place.
+        # A run on an engine three times slower than the median moves to a free slot.
         ([run("a", 3.0)], [engine("e1")], ["a"]),
-        # No more of them than there are places at faster engines.
+        # No more runs move than faster engines have free slots.
         ([run("a", 3.0), run("b", 3.0)], [engine("e1", running=3)], ["a"]),
         ([run("a", 3.0)], [engine("e1", running=4)], []),
         ([run("a", 3.0)], [engine("e1", slowness=1.5)], []),
         ([run("a", 3.0)], [engine("e1", accepts=False)], []),
-        # A little slower, hardly begun, or asked already: it stays.
+        # Only a little slower, just started, or already moving: the run stays.
         ([run("a", 1.9)], [engine("e1")], []),
-        ([run("a", 3.0, MOVE_AFTER_EVENTS - 1)], [engine("e1")], []),
+        ([run("a", 3.0, MIN_EVENTS_BEFORE_MOVE - 1)], [engine("e1")], []),
         ([run("a", 3.0, moving=True), run("b", 3.0)], [engine("e1")], ["b"]),
     ],
 )
-def test_which_runs_move(runs: list[RunView], engines: list[EngineView], want: list[str]) -> None:
+def test_runs_to_move(runs: list[RunView], engines: list[EngineView], want: list[str]) -> None:
     assert [name[1] for name in runs_to_move(runs, engines)] == want
 
 
-def pressed(
+def late_run(
     item: str,
     slowness: float,
-    rest_s: float,
+    remaining_s: float,
     due_in_s: float,
     leaves_in_s: float = math.inf,
     min_version: int = 1,
 ) -> RunView:
-    return RunView(("s", item), slowness, 9, False, rest_s, due_in_s, leaves_in_s, "m", min_version)
+    return RunView(
+        ("s", item), slowness, 9, False, remaining_s, due_in_s, leaves_in_s, "m", min_version
+    )
 
 
 @pytest.mark.parametrize(
     ("runs", "engines", "want"),
     [
-        # Late at its engine of two thirds of the pace, in time at another.
-        ([pressed("a", 1.3, 4.0, 5.0)], [engine("e1")], ["a"]),
-        # In time where it is, or no better elsewhere.
-        ([pressed("a", 1.3, 3.0, 5.0)], [engine("e1")], []),
-        ([pressed("a", 1.3, 4.0, 5.0)], [engine("e1", slowness=1.2)], []),
-        ([pressed("a", 1.3, 0.5, 0.2)], [engine("e1")], []),
-        # One place: the one that has less to spare.
+        # Late on its slower engine, in time on another.
+        ([late_run("a", 1.3, 4.0, 5.0)], [engine("e1")], ["a"]),
+        # In time on its engine, or no relevant gain elsewhere.
+        ([late_run("a", 1.3, 3.0, 5.0)], [engine("e1")], []),
+        ([late_run("a", 1.3, 4.0, 5.0)], [engine("e1", slowness=1.2)], []),
+        ([late_run("a", 1.3, 0.5, 0.2)], [engine("e1")], []),
+        # One free slot: the run with less slack.
         (
-            [pressed("a", 1.3, 4.0, 5.0), pressed("b", 1.3, 4.0, 4.0)],
+            [late_run("a", 1.3, 4.0, 5.0), late_run("b", 1.3, 4.0, 4.0)],
             [engine("e1", running=3)],
             ["b"],
         ),
-        # Weights that may not go on with the text.
-        ([pressed("a", 1.3, 4.0, 5.0, min_version=2)], [engine("e1")], []),
-        # Its engine leaves before the text is whole, or after it.
-        ([pressed("a", 1.0, 4.0, 9.0, 2.0)], [engine("e1")], ["a"]),
-        ([pressed("a", 1.0, 1.5, 9.0, 2.0)], [engine("e1")], []),
+        # The other engine's weights are too old for the step.
+        ([late_run("a", 1.3, 4.0, 5.0, min_version=2)], [engine("e1")], []),
+        # Its engine stops before the text is complete, or after that.
+        ([late_run("a", 1.0, 4.0, 9.0, 2.0)], [engine("e1")], ["a"]),
+        ([late_run("a", 1.0, 1.5, 9.0, 2.0)], [engine("e1")], []),
     ],
 )
-def test_a_text_that_would_be_late_goes_on_at_a_faster_engine(
+def test_a_text_that_would_be_late_moves_to_a_faster_engine(
     runs: list[RunView], engines: list[EngineView], want: list[str]
 ) -> None:
     """Guards against a step that waits for one long text on the slowest kind of engine."""
@@ -113,31 +115,33 @@
     ("made", "hinted", "most", "want"),
     [(0, 18, 134, 18), (10, 18, 134, 8), (18, 18, 134, 36), (60, 18, 134, 74), (134, 18, 134, 0)],
 )
-def test_a_text_that_outlasts_its_hint_is_expected_to_go_on(
+def test_a_text_longer_than_its_hint_is_expected_to_grow(
     made: int, hinted: int, most: int, want: int
 ) -> None:
-    """Guards against a long text that looks all but done because its hint was short."""
-    assert expected_rest_events(made, hinted, most) == want
+    """Guards against a long text that looks nearly complete because its hint was short."""
+    assert expected_remaining_events(made, hinted, most) == want
 
 
 @pytest.mark.parametrize(
     ("reason", "failures", "want"),
     [
-        (GenerationEnd.IMPOSSIBLE, 0, Aftermath(item_dead=True)),
-        (GenerationEnd.FAILED, 2, Aftermath(item_dead=False)),
-        (GenerationEnd.FAILED, 3, Aftermath(item_dead=True)),
-        (GenerationEnd.REFUSED, 0, Aftermath(engine_rest_s=REFUSAL_REST_S)),
-        (GenerationEnd.BROKEN, 0, Aftermath(engine_rest_s=ENGINE_REST_S)),
-        (GenerationEnd.WRONG_INSTANCE, 0, Aftermath(engine_rest_s=ENGINE_REST_S)),
-        (GenerationEnd.SILENT, 0, Aftermath(item_rest_s=0.0, engine_rest_s=ENGINE_REST_S)),
+        (GenerationEnd.IMPOSSIBLE, 0, FailureResponse(give_up_item=True)),
+        (GenerationEnd.FAILED, 2, FailureResponse(give_up_item=False)),
+        (GenerationEnd.FAILED, 3, FailureResponse(give_up_item=True)),
+        (GenerationEnd.REFUSED, 0, FailureResponse(engine_backoff_s=REFUSAL_BACKOFF_S)),
+        (GenerationEnd.BROKEN, 0, FailureResponse(engine_backoff_s=ENGINE_BACKOFF_S)),
+        (GenerationEnd.WRONG_INSTANCE, 0, FailureResponse(engine_backoff_s=ENGINE_BACKOFF_S)),
+        (
+            GenerationEnd.SILENT,
+            0,
+            FailureResponse(item_backoff_s=0.0, engine_backoff_s=ENGINE_BACKOFF_S),
+        ),
     ],
 )
-def test_what_follows_a_run_that_failed(
-    reason: GenerationEnd, failures: int, want: Aftermath
-) -> None:
-    assert after_failed_run(reason, failures, max_attempts=3) == want
+def test_failure_response(reason: GenerationEnd, failures: int, want: FailureResponse) -> None:
+    assert failure_response(reason, failures, max_attempts=3) == want
 
 
-def test_an_item_rests_a_moment_after_an_engine_failed_it() -> None:
-    """An engine that fails an item at once would otherwise be asked as fast as it answers."""
-    assert after_failed_run(GenerationEnd.FAILED, 1, 3).item_rest_s == ITEM_REST_S > 0.0
+def test_an_item_backs_off_after_a_failed_run() -> None:
+    """An engine that fails an item at once would otherwise be called in a tight loop."""
+    assert failure_response(GenerationEnd.FAILED, 1, 3).item_backoff_s == ITEM_BACKOFF_S > 0.0
