--- a/samphirecleat/bench/_state_sizes.py
+++ b/samphirecleat/bench/_state_sizes.py
@@ -13,7 +13,7 @@
 
 from ..blackboard import Member, TargetView
 from ..controllers.membership import MemberTable
-from ..controllers.targets import TargetNews
+from ..controllers.targets import TargetGossip
 from ..observe import Observer
 from ..peers import MemberRow, RendezvousOwners, TargetLoad, TargetRow
 
@@ -107,7 +107,7 @@
 
 
 def _fill_targets() -> object:
-    news = TargetNews()
+    news = TargetGossip()
     written = {}
     for index in range(TARGETS):
         address = f"10.0.{index // 250}.{index % 250}:8000"
--- a/samphirecleat/bench/_weights.py
+++ b/samphirecleat/bench/_weights.py
@@ -17,7 +17,7 @@
 
 from ..client import StepRequest, TrainerClient
 from ..controllers.policies import Policies
-from ..controllers.weights import AllAtOnce, OneByOne, SwapPolicy, WeighedSwaps
+from ..controllers.weights import AllAtOnce, OneByOne, StalenessWeightedSwaps, SwapPolicy
 from ..trial import DEPLOYMENTS, Fleet, service_text, until_ready
 from ._harness import BenchResult, run_repeats
 
@@ -48,9 +48,9 @@
 
 
 VARIANTS: Final[Sequence[Variant]] = (
-    Variant("weighed, 0.5", WeighedSwaps(), 0.5),
-    Variant("weighed, 0.2 (lavadero-norte)", WeighedSwaps(), 0.2),
-    Variant("weighed, 0.8 (los-aromos)", WeighedSwaps(), 0.8),
+    Variant("weighed, 0.5", StalenessWeightedSwaps(), 0.5),
+    Variant("weighed, 0.2 (lavadero-norte)", StalenessWeightedSwaps(), 0.2),
+    Variant("weighed, 0.8 (los-aromos)", StalenessWeightedSwaps(), 0.8),
     Variant("one by one", OneByOne(), 0.5),
     Variant("all at once", AllAtOnce(), 0.5),
 )
--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -16,7 +16,7 @@
 from ...requests import AnswerLine, AnswerLog, Call, WorkClass
 from ...targets import Lost, NotSent, TargetClient, TargetError
 from ..policies import Policies
-from ..targets import is_stale, is_unheard
+from ..targets import is_target_report_expired, is_target_section_stale
 from ._crash_watch import mark_of, start_of
 from ._limiter import Limiter
 from ._pace import PaceKeeper
@@ -189,13 +189,13 @@
 
     def _choose(self, service: Service, call: Call, tried: Sequence[str]) -> TargetView | None:
         now_s = asyncio.get_running_loop().time()
-        if is_stale(self._board.targets_kept_at_s, now_s):
+        if is_target_section_stale(self._board.targets_kept_at_s, now_s):
             return None
         known = len(self._board.targets)
         targets = [
             target
             for target in self._board.targets_of(service.name)
-            if not is_unheard(target, known, now_s)
+            if not is_target_report_expired(target, known, now_s)
         ]
         view = RoutingView(
             targets=targets,
--- a/samphirecleat/controllers/steps/_step_registry.py
+++ b/samphirecleat/controllers/steps/_step_registry.py
@@ -104,7 +104,7 @@
         self._observer.record_s("trainer_wait", waited_s)
         return reply
 
-    def undelivered(self, now_s: float) -> bool:
+    def has_undelivered_samples(self, now_s: float) -> bool:
         """Whether samples are ready for a trainer that pulled lately."""
         return any(
             step.ready and step.pulled and now_s - step.touched_at_s < FORGET_DONE_AFTER_S
--- a/samphirecleat/controllers/targets/__init__.py
+++ b/samphirecleat/controllers/targets/__init__.py
@@ -1,11 +1,11 @@
 """What is known of each target: one node asks it, all are told."""
 
-from ._target_news import TargetNews
-from ._target_watch import TargetWatch, is_stale, is_unheard
+from ._target_news import TargetGossip
+from ._target_watch import TargetWatch, is_target_report_expired, is_target_section_stale
 
 __all__ = [
-    "TargetNews",
+    "TargetGossip",
     "TargetWatch",
-    "is_stale",
-    "is_unheard",
+    "is_target_section_stale",
+    "is_target_report_expired",
 ]
--- a/samphirecleat/controllers/targets/_target_news.py
+++ b/samphirecleat/controllers/targets/_target_news.py
@@ -31,7 +31,7 @@
     key: int
 
 
-class TargetNews:
+class TargetGossip:
     """The newest that was heard of each target, and what is to be passed on."""
 
     def __init__(self) -> None:
--- a/samphirecleat/controllers/targets/_target_watch.py
+++ b/samphirecleat/controllers/targets/_target_watch.py
@@ -8,7 +8,7 @@
 from ...blackboard import Blackboard, TargetView
 from ...peers import Message, RendezvousOwners, TargetRow
 from ...targets import TargetClient
-from ._target_news import TargetNews, view_of_row
+from ._target_news import TargetGossip, view_of_row
 
 SILENT_AFTER_S: Final = 1.5
 SILENT_PER_TARGET_S: Final = 1.0 / 30.0
@@ -57,7 +57,7 @@
     return SILENT_AFTER_S + SILENT_PER_TARGET_S * target_count
 
 
-def is_stale(kept_at_s: float, now_s: float) -> bool:
+def is_target_section_stale(kept_at_s: float, now_s: float) -> bool:
     """Whether the target section is too old to send new work by.
 
     A process that stood still, or whose loop is stuck, goes on with a view from
@@ -67,7 +67,7 @@
     return now_s - kept_at_s > STALE_AFTER_S
 
 
-def is_unheard(target: TargetView, target_count: int, now_s: float) -> bool:
+def is_target_report_expired(target: TargetView, target_count: int, now_s: float) -> bool:
     """Whether a target was heard of too long ago to be sent new work.
 
     Its watcher and then this node's own questions come sooner than that while this
@@ -100,7 +100,7 @@
         self._refused: set[str] = set()
         self._paused_at_s: float | None = None
         self.on_pause: Callable[[], None] = _ignore
-        self.news = TargetNews()
+        self.gossip = TargetGossip()
         self.polls = 0
 
     async def drive(self) -> None:
@@ -119,13 +119,13 @@
         """Ask what is to be asked now and write what was said."""
         self._refresh_wanted()
         now_s = asyncio.get_running_loop().time()
-        if is_stale(self._board.targets_kept_at_s, now_s):
+        if is_target_section_stale(self._board.targets_kept_at_s, now_s):
             # This process stood still and missed what the others told.
             self.distrust_all()
         self._end_pause(now_s)
         asked = decide_polls(self._view(now_s), now_s)
         await asyncio.gather(*(self._ask(address) for address in asked))
-        self._write([a for a in {*asked, *self.news.changed} if a in self._wanted])
+        self._write([a for a in {*asked, *self.gossip.changed} if a in self._wanted])
         # The round's beginning: the process may have stood still in the middle of it.
         self._board.targets_kept_at_s = now_s
 
@@ -179,20 +179,20 @@
 
     def load(self, message: Message, now_s: float) -> Message:
         """Put this part's news into a datagram to other nodes."""
-        return self.news.load(message, now_s)
+        return self.gossip.load(message, now_s)
 
     def unload(self, message: Message, now_s: float) -> None:
         """Take in what another node tells of targets."""
         for row in message.targets:
             self._hear(row, now_s)
-        self.news.unload_loads(message.loads, now_s)
-        self._write([address for address in self.news.changed if address in self._wanted])
+        self.gossip.unload_loads(message.loads, now_s)
+        self._write([address for address in self.gossip.changed if address in self._wanted])
 
     def _hear(self, row: TargetRow, now_s: float) -> None:
         wanted = self._wanted.get(row.address)
         if wanted is None:
             return
-        known = self.news.heard.get(row.address)
+        known = self.gossip.heard.get(row.address)
         if known is not None and known.view.reachable and not row.reachable:
             # Another node's path may be at fault: believe only an own question.
             self._doubted.setdefault(row.address, 0.0)
@@ -200,11 +200,11 @@
         if row.address in self._doubted and row.reachable:
             self._doubted[row.address] = min(self._doubted[row.address], now_s)
             return
-        self.news.note(view_of_row(row, wanted, now_s), now_s - row.poll_age_ms / 1000.0, now_s)
+        self.gossip.note(view_of_row(row, wanted, now_s), now_s - row.poll_age_ms / 1000.0, now_s)
 
     async def _ask(self, address: str) -> None:
         wanted = self._wanted[address]
-        heard = self.news.heard.get(address)
+        heard = self.gossip.heard.get(address)
         known = heard.view if heard is not None else wanted
         asked_at_s = asyncio.get_running_loop().time()
         self.polls += 1
@@ -216,14 +216,14 @@
             jitter = 0.5 + self._rng.random()
             self._doubted[address] = asked_at_s + DOUBT_PERIOD_S * jitter
         if address in self._wanted:
-            self.news.note(view, asked_at_s, asked_at_s, tell_first=address in self._owned)
+            self.gossip.note(view, asked_at_s, asked_at_s, tell_first=address in self._owned)
 
     def _refresh_wanted(self) -> None:
         board = self._board
         if (board.config, board.listed_targets) != self._wanted_from:
             self._wanted_from = (board.config, board.listed_targets)
             self._wanted = wanted_targets(board)
-            self.news.keep_only(self._wanted)
+            self.gossip.keep_only(self._wanted)
             for address in set(board.targets) - set(self._wanted):
                 del board.targets[address]
             for address in set(self._doubted) - set(self._wanted):
@@ -237,9 +237,9 @@
 
     def _view(self, now_s: float) -> WatchView:
         unheard: Sequence[str] = ()
-        if len(self.news.heard) < len(self._wanted):
-            unheard = [address for address in self._wanted if address not in self.news.heard]
-        silent = self.news.silent_since(now_s - silent_after_s(len(self._wanted)))
+        if len(self.gossip.heard) < len(self._wanted):
+            unheard = [address for address in self._wanted if address not in self.gossip.heard]
+        silent = self.gossip.silent_since(now_s - silent_after_s(len(self._wanted)))
         return WatchView(self._owned, [*unheard, *silent], self._doubted)
 
     def _write(self, addresses: Sequence[str]) -> None:
@@ -249,7 +249,7 @@
         now_s = asyncio.get_running_loop().time()
         for address in addresses:
             wanted = self._wanted[address]
-            heard = self.news.heard.get(address)
+            heard = self.gossip.heard.get(address)
             view = heard.view if heard is not None else wanted
             listed = board.listed_targets.get(address)
             board.targets[address] = view._replace(
@@ -259,7 +259,7 @@
                 reachable=view.reachable and usable and address not in self._refused,
                 heard_at_s=heard.polled_at_s if heard is not None else now_s,
             )
-        self.news.changed.clear()
+        self.gossip.changed.clear()
 
 
 def _ignore() -> None:
--- a/samphirecleat/controllers/weights/_coordinator.py
+++ b/samphirecleat/controllers/weights/_coordinator.py
@@ -13,7 +13,7 @@
 from ...peers import rank_members
 from ...platform import HttpWeightStore, StoreInfo, WeightStoreUnavailableError
 from ...targets import OrderFenced, OrderOutcome, OrderTaken, OrderUnknown, TargetClient
-from ._leases import LeaseKeeper
+from ._leases import LeaseManager
 from ._read_back import ReadBack
 from ._streamed_versions import true_version
 from ._swaps import (
@@ -39,7 +39,7 @@
     def __init__(
         self,
         board: Blackboard,
-        leases: LeaseKeeper,
+        leases: LeaseManager,
         store: HttpWeightStore,
         client: TargetClient,
         observer: Observer,
--- a/samphirecleat/controllers/weights/_leases.py
+++ b/samphirecleat/controllers/weights/_leases.py
@@ -148,7 +148,7 @@
     )
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Reads the control stream and claims the leases that this node should hold."""
 
     def __init__(
--- a/samphirecleat/controllers/weights/_swaps.py
+++ b/samphirecleat/controllers/weights/_swaps.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True)
-class WeighedSwaps:
+class StalenessWeightedSwaps:
     """As many at once as the service's ``staleness_weight`` asks for."""
 
 
@@ -73,8 +73,8 @@
     """Baseline: every engine at once, whatever the service text and the store bear."""
 
 
-SwapPolicy = WeighedSwaps | OneByOne | AllAtOnce
-DEFAULT_SWAP_POLICY: Final = WeighedSwaps()
+SwapPolicy = StalenessWeightedSwaps | OneByOne | AllAtOnce
+DEFAULT_SWAP_POLICY: Final = StalenessWeightedSwaps()
 
 
 def decide_swaps(
@@ -127,7 +127,7 @@
             return len(engines)
         case OneByOne():
             return 1 - len(loading)
-        case WeighedSwaps():
+        case StalenessWeightedSwaps():
             allowed = swaps_at_once(view.service, len(engines), view.parallel_loads)
             return allowed - len(loading)
 
--- a/samphirecleat/node.py
+++ b/samphirecleat/node.py
@@ -18,7 +18,7 @@
 from .controllers.policies import Policies
 from .controllers.steps import StepRegistry, StepRunner
 from .controllers.targets import TargetWatch
-from .controllers.weights import LeaseKeeper, WeightCoordinator
+from .controllers.weights import LeaseManager, WeightCoordinator
 from .crashes import CrashGuard, CrashLedger, CrashNews, UnkeptEnds
 from .entry import CallerEntry, OperatorEntry, TrainerEntry, build_app, build_node_report
 from .observe import Observer
@@ -75,7 +75,9 @@
             self.observer,
             announce=self.membership.announce,
             in_flight=lambda: self.callers.in_flight + self.limiter.in_flight,
-            undelivered=lambda: self.steps.undelivered(asyncio.get_running_loop().time()),
+            undelivered=lambda: self.steps.has_undelivered_samples(
+                asyncio.get_running_loop().time()
+            ),
             entry_ttl_s=timings.entry_ttl_s,
             heartbeat_s=timings.heartbeat_s,
             longest_s=timings.max_deadline_s,
@@ -167,7 +169,7 @@
             retention_s=timings.log_retention_s,
         )
         self.config_follower = ConfigFollower(board, self.peers, self.config_reader, self._rng)
-        self.leases = LeaseKeeper(
+        self.leases = LeaseManager(
             board,
             log,
             self.observer,
--- a/tests/controllers/targets/test_target_watch.py
+++ b/tests/controllers/targets/test_target_watch.py
@@ -8,13 +8,13 @@
 from samphirecleat.blackboard import Blackboard, Identity, MemberView, TargetView
 from samphirecleat.config import read_service_text
 from samphirecleat.controllers.membership._discovery import ListedNews, reading_period_s
-from samphirecleat.controllers.targets._target_news import TargetNews, make_row, view_of_row
+from samphirecleat.controllers.targets._target_news import TargetGossip, make_row, view_of_row
 from samphirecleat.controllers.targets._target_watch import (
     FALLBACK_POLLS,
     TargetWatch,
     WatchView,
     decide_polls,
-    is_unheard,
+    is_target_report_expired,
     silent_after_s,
 )
 from samphirecleat.peers import MemberRow, Message, MessageKind, TargetRow
@@ -58,10 +58,10 @@
     assert silent_after_s(16) + 0.5 < 3.0
 
 
-def news_with(view: TargetView, polled_at_s: float) -> TargetNews:
-    news = TargetNews()
-    news.note(view, polled_at_s, NOW_S)
-    return news
+def news_with(view: TargetView, polled_at_s: float) -> TargetGossip:
+    gossip = TargetGossip()
+    gossip.note(view, polled_at_s, NOW_S)
+    return gossip
 
 
 @pytest.mark.parametrize(
@@ -84,9 +84,9 @@
     If an old one won, work would go to a target that leaves, or be counted to
     weights that it no longer has.
     """
-    news = news_with(SEEN._replace(leaving=True), 100.0)
-    news.note(SEEN._replace(leaving=True)._replace(**changes), polled_at_s, NOW_S)
-    view = news.heard[ADDRESS].view
+    gossip = news_with(SEEN._replace(leaving=True), 100.0)
+    gossip.note(SEEN._replace(leaving=True)._replace(**changes), polled_at_s, NOW_S)
+    view = gossip.heard[ADDRESS].view
     assert {name: getattr(view, name) for name in expected} == expected
 
 
@@ -130,10 +130,10 @@
 
 
 def test_the_size_of_the_news_does_not_grow_with_the_targets() -> None:
-    news = TargetNews()
+    gossip = TargetGossip()
     for index in range(600):
-        news.note(SEEN._replace(address=f"10.0.0.{index}:1"), 100.0, 100.0)
-    message = news.load(ping(), 100.0)
+        gossip.note(SEEN._replace(address=f"10.0.0.{index}:1"), 100.0, 100.0)
+    message = gossip.load(ping(), 100.0)
     assert len(message.loads) + len(message.targets) <= 25
 
 
@@ -180,7 +180,7 @@
         await watch.poll_once()
         assert board.targets[ADDRESS].usable
         asked = answers.asked
-        row = make_row(watch.news.heard[ADDRESS], now_s)
+        row = make_row(watch.gossip.heard[ADDRESS], now_s)
         watch.unload(ping(row._replace(reachable=False, poll_age_ms=0)), now_s + 0.1)
         await watch.poll_once()
         assert answers.asked == asked + 1
@@ -201,7 +201,7 @@
         await watch.poll_once()
         assert not board.targets[ADDRESS].usable
         answers.reachable = True
-        watch.unload(ping(make_row(watch.news.heard[ADDRESS], 0.0)._replace(reachable=True)), 1.0)
+        watch.unload(ping(make_row(watch.gossip.heard[ADDRESS], 0.0)._replace(reachable=True)), 1.0)
         await watch.poll_once()
         assert board.targets[ADDRESS].usable
 
@@ -221,7 +221,7 @@
     the leaving target get a request after three seconds.
     """
     target = TargetView("10.0.0.1:8000", "asesor", "z", heard_at_s=100.0 - heard_ago_s)
-    assert is_unheard(target, target_count, 100.0) is unheard
+    assert is_target_report_expired(target, target_count, 100.0) is unheard
 
 
 def test_a_watch_that_starts_again_trusts_no_target_at_once() -> None:
@@ -259,7 +259,7 @@
         await watch.poll_once()
         watch.distrust_all()
         assert not board.targets[ADDRESS].usable
-        heard = watch.news.heard[ADDRESS]
+        heard = watch.gossip.heard[ADDRESS]
         teller = news_with(heard.view._replace(running=3), heard.polled_at_s)
         told_at_s = heard.polled_at_s + 1.0
         teller.note(heard.view._replace(running=4), told_at_s, told_at_s)
--- a/tests/controllers/weights/test_lease_keeper.py
+++ b/tests/controllers/weights/test_lease_keeper.py
@@ -15,7 +15,7 @@
     fold_records,
     publication_payload,
 )
-from samphirecleat.controllers.weights import LeaseKeeper
+from samphirecleat.controllers.weights import LeaseManager
 from samphirecleat.observe import Observer
 from samphirecleat.platform import HttpLog
 from samphirecleat.standins import StandInLog
@@ -34,7 +34,7 @@
         board = Blackboard(Identity(node_id, node_id, "bilbao-a", "", ""))
         made = publication_payload(Publication("p", -1, text_of("asesor"), "ana"))
         board.config = fold_records(ConfigState(), [LogRecord(0, made)], 0)
-        self.keeper = LeaseKeeper(
+        self.keeper = LeaseManager(
             board,
             log,
             Observer(node_id),
