--- a/samphirecleat/controllers/steps/_step_registry.py
+++ b/samphirecleat/controllers/steps/_step_registry.py
@@ -9,7 +9,7 @@
 from ...errors import ErrorKind, RequestError
 from ...observe import Observer
 from ...steps import NO_VERSION, Pull, PullReply, Step, StepSpec, TrainerStats
-from ..weights import VersionOutlook
+from ..weights import VersionForecast
 
 PULL_RECHECK_S: Final = 0.5
 FORGET_AFTER_S: Final = 600.0
@@ -31,7 +31,7 @@
         self._board = board
         self._observer = observer
         self._stats: dict[str, TrainerStats] = {}
-        self.outlook = VersionOutlook(board)
+        self.version_forecast = VersionForecast(board)
         self.work = asyncio.Event()
         self.steps: dict[tuple[str, str], Step] = {}
 
@@ -62,7 +62,7 @@
                 ErrorKind.STEP_CONFLICT, f'step "{spec.step_id}" was submitted with other contents'
             )
         step.take_held(client_id, held, now_s)
-        self.outlook.note_version(spec.trainer, version)
+        self.version_forecast.note_version(spec.trainer, version)
         self._stats.setdefault(spec.trainer, TrainerStats(now_s))
         self.work.set()
         return step
@@ -90,13 +90,13 @@
         """
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
-        self.outlook.note_pull(self.find(trainer, step_id), pull.version)
-        self.outlook.begin_pull(trainer)
+        self.version_forecast.note_pull(self.find(trainer, step_id), pull.version)
+        self.version_forecast.begin_pull(trainer)
         self.work.set()
         try:
             reply = await self._wait_for_samples(trainer, step_id, pull)
         finally:
-            self.outlook.end_pull(trainer)
+            self.version_forecast.end_pull(trainer)
         stats = self._stats.setdefault(trainer, TrainerStats(started_at_s))
         waited_s = loop.time() - started_at_s
         stats.idle_s += waited_s
@@ -153,4 +153,4 @@
         """Keep only trainers with a step: names are free, and would fill the memory."""
         active = {trainer for trainer, _step_id in self.steps}
         self._stats = {name: s for name, s in self._stats.items() if name in active}
-        self.outlook.forget_others(active)
+        self.version_forecast.retain_trainers(active)
--- a/samphirecleat/controllers/steps/_step_runner.py
+++ b/samphirecleat/controllers/steps/_step_runner.py
@@ -22,7 +22,7 @@
     find_free_slots,
 )
 from ..admission import Dispatcher, Limiter
-from ..weights import StreamedVersions
+from ..weights import StreamedVersionTracker
 from ._sample_maker import SampleMaker
 from ._step_registry import StepRegistry
 
@@ -52,7 +52,7 @@
         self._rng = rng
         self._copy_policy = copy_policy
         self._maker = SampleMaker(board, dispatcher, rng)
-        self._streamed = StreamedVersions(board)
+        self._streamed = StreamedVersionTracker(board)
         self._tasks: dict[Run, asyncio.Task[None]] = {}
         self._shares: defaultdict[str, ShareBook] = defaultdict(ShareBook)
         self._paces: defaultdict[str, PaceBook] = defaultdict(PaceBook)
@@ -81,7 +81,7 @@
         for step in self._registry.forget_old(now_s):
             for run in list(step.runs):
                 self._cancel(step, run)
-        self._streamed.forget_gone()
+        self._streamed.drop_removed_targets()
         by_service: dict[str, list[Step]] = defaultdict(list)
         for step in self._registry.steps.values():
             self._cancel_useless(step, now_s)
@@ -163,7 +163,7 @@
         book.rest({step.spec.trainer for step in steps})
 
     def _excluded(self, step: Step, placement: Placement, now_s: float) -> frozenset[str]:
-        return self._registry.outlook.stale_targets(step, now_s) | placement.full
+        return self._registry.version_forecast.stale_targets(step, now_s) | placement.full
 
     def _start(self, step: Step, run: Run, excluded: frozenset[str]) -> None:
         spec = step.spec
@@ -190,7 +190,7 @@
             self._registry.work.set()
 
     def _note_span(self, run: Run, span: Span) -> None:
-        self._streamed.note(run.target, span.version, asyncio.get_running_loop().time())
+        self._streamed.note_token(run.target, span.version, asyncio.get_running_loop().time())
 
     def _back_off(self, service: str, error: RequestError, now_s: float) -> None:
         """Let a service that has no room rest; the jitter keeps nodes out of step."""
@@ -199,7 +199,7 @@
             self._resume_at_s[service] = max(self._resume_at_s[service], now_s + wait_s)
 
     def _cancel_useless(self, step: Step, now_s: float) -> None:
-        coming = self._registry.outlook.coming_version(step, now_s)
+        coming = self._registry.version_forecast.coming_version(step, now_s)
         for run in step.expect_version(coming):
             self._observer.counters["runs_cancelled_stale"] += 1
             self._cancel(step, run)
--- a/samphirecleat/controllers/weights/__init__.py
+++ b/samphirecleat/controllers/weights/__init__.py
@@ -1,19 +1,19 @@
-"""New weights: who may order, which targets load next, what they really run."""
+"""Weight rollout: coordinator leases, load scheduling and version verification."""
 
 from ._coordinator import WeightCoordinator
 from ._leases import LeaseManager
-from ._streamed_versions import StreamedVersions
+from ._streamed_versions import StreamedVersionTracker
 from ._swaps import DEFAULT_SWAP_POLICY, AllAtOnce, OneByOne, StalenessWeightedSwaps, SwapPolicy
-from ._version_outlook import VersionOutlook
+from ._version_forecast import VersionForecast
 
 __all__ = [
     "AllAtOnce",
     "DEFAULT_SWAP_POLICY",
     "LeaseManager",
     "OneByOne",
-    "StreamedVersions",
+    "StreamedVersionTracker",
     "SwapPolicy",
-    "VersionOutlook",
+    "VersionForecast",
     "StalenessWeightedSwaps",
     "WeightCoordinator",
 ]
--- a/samphirecleat/controllers/weights/_coordinator.py
+++ b/samphirecleat/controllers/weights/_coordinator.py
@@ -1,4 +1,4 @@
-"""Brings the newest weights to every engine of a service, a few at a time."""
+"""Rolls out the newest weights to every engine of a service, a few engines at a time."""
 
 import asyncio
 import math
@@ -14,27 +14,27 @@
 from ...platform import HttpWeightStore, StoreInfo, WeightStoreUnavailableError
 from ...targets import OrderFenced, OrderOutcome, OrderTaken, OrderUnknown, TargetClient
 from ._leases import LeaseManager
-from ._read_back import ReadBack
-from ._streamed_versions import true_version
+from ._load_monitor import LoadMonitor
+from ._streamed_versions import effective_version
 from ._swaps import (
     DEFAULT_SWAP_POLICY,
+    LoadOrder,
     OrderRecord,
-    OrderVersion,
     SwapPolicy,
     SwapView,
     decide_swaps,
-    retry_wait_s,
+    retry_delay_s,
 )
 
 PERIOD_S: Final = 0.2
 IDLE_PERIOD_S: Final = 0.5
-STORE_PERIOD_S: Final = 0.5
-LONGEST_STORE_WAIT_S: Final = 10.0
+STORE_POLL_PERIOD_S: Final = 0.5
+MAX_STORE_POLL_DELAY_S: Final = 10.0
 MAX_STORE_DOUBLINGS: Final = 6
 
 
 class WeightCoordinator:
-    """Coordinates the services whose lease this node holds."""
+    """Coordinates the weight rollout of the services whose lease this node should hold."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         rng: random.Random,
         policy: SwapPolicy = DEFAULT_SWAP_POLICY,
     ) -> None:
-        """Wire the parts that an order passes through."""
+        """Create a coordinator; :meth:`drive` starts it."""
         self._board = board
         self._leases = leases
         self._store = store
@@ -54,53 +54,56 @@
         self._observer = observer
         self._rng = rng
         self._policy = policy
-        self._read_back = ReadBack(client)
+        self._load_monitor = LoadMonitor(client)
         self._orders: dict[str, OrderRecord] = {}
         self._fenced_epochs: dict[str, int] = {}
-        self._read_at_s: dict[str, float] = {}
-        self._read_failures: dict[str, int] = {}
+        self._next_read_at_s: dict[str, float] = {}
+        self._store_failures: dict[str, int] = {}
 
     async def drive(self) -> None:
-        """Coordinate for as long as the node lives.
+        """Coordinate rollouts until cancelled.
 
-        Leases, the store and the orders go on each by themselves, so that a slow
-        log or store holds up no order that is already decided.
+        Lease renewal, store polling and orders run as separate tasks, so that a slow log or
+        store does not delay orders that are already decided.
         """
         try:
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._keep_leases())
-                group.create_task(self._follow_store())
-                group.create_task(self._swap())
+                group.create_task(self._poll_store())
+                group.create_task(self._run_swaps())
         finally:
-            await self._read_back.close()
+            await self._load_monitor.close()
 
     def report(self) -> Mapping[str, Mapping[str, float]]:
-        """Return the weights of the services that this node coordinates."""
-        return {name: self._report_one(name, view) for name, view in self._board.weights.items()}
+        """Return the rollout state of the services that this node coordinates, by service name."""
+        return {
+            name: self._service_report(name, view) for name, view in self._board.weights.items()
+        }
 
     async def _keep_leases(self) -> None:
         while True:
             await asyncio.sleep(PERIOD_S if self._board.weights else IDLE_PERIOD_S)
             for service in self._own_services():
-                await self._leases.keep(lease_name(service.name))
+                await self._leases.claim_or_renew(lease_name(service.name))
 
-    async def _follow_store(self) -> None:
+    async def _poll_store(self) -> None:
         while True:
             await asyncio.sleep(PERIOD_S if self._board.weights else IDLE_PERIOD_S)
-            own = {service.name for service in self._own_services()}
-            for name in [name for name in self._board.weights if name not in own]:
-                # Another node coordinates it; what this one knew gets old.
+            own_services = {service.name for service in self._own_services()}
+            for name in [name for name in self._board.weights if name not in own_services]:
+                # Another node coordinates this service, so this node's copy would become
+                # outdated.
                 del self._board.weights[name]
             now_s = asyncio.get_running_loop().time()
-            due = [name for name in own if now_s >= self._read_at_s.get(name, 0.0)]
+            due = [name for name in own_services if now_s >= self._next_read_at_s.get(name, 0.0)]
             await asyncio.gather(*(self._read_store(name) for name in due))
 
-    async def _swap(self) -> None:
+    async def _run_swaps(self) -> None:
         while True:
             period_s = PERIOD_S if self._board.weights else IDLE_PERIOD_S
-            await wait_for_event(self._read_back.settled, period_s)
-            self._read_back.settled.clear()
-            self._forget_gone()
+            await wait_for_event(self._load_monitor.load_finished, period_s)
+            self._load_monitor.load_finished.clear()
+            self._drop_removed_targets()
             services = [s for s in self._own_services() if s.name in self._board.weights]
             await asyncio.gather(*(self._coordinate(service) for service in services))
 
@@ -114,10 +117,10 @@
         ]
 
     def _should_hold(self, service: str) -> bool:
-        """Whether this node comes first for a service among the live members.
+        """Return whether this node should hold the lease of a service.
 
-        The current holder goes on while it lives, so that a lease does not move
-        whenever a node joins.
+        A live current holder keeps the lease, so that it does not move whenever a node
+        joins. Otherwise the first live member in rendezvous order holds it.
         """
         members = self._board.live_members()
         lease = self._board.leases.get(lease_name(service))
@@ -129,33 +132,33 @@
         return bool(ranked) and ranked[0].node_id == self._board.identity.node_id
 
     async def _read_store(self, service: str) -> None:
-        """Read the newest version; after a failure wait longer each time.
+        """Read the newest version; the delay before the next read grows with each failure.
 
-        The jitter keeps coordinators from coming back to a store all at once.
+        The jitter keeps coordinators from returning to a recovered store all at once.
         """
         try:
             info = await self._store.read(service)
         except WeightStoreUnavailableError as error:
-            failures = self._read_failures.get(service, 0) + 1
-            self._read_failures[service] = failures
+            failures = self._store_failures.get(service, 0) + 1
+            self._store_failures[service] = failures
             if failures == 1:
-                self._observer.log("weights").warning("The weight store fails: %s.", error)
+                self._observer.log("weights").warning("could not read the weight store: %s", error)
         else:
-            self._read_failures[service] = 0
+            self._store_failures[service] = 0
             self._note_latest(service, info)
-        doublings = min(MAX_STORE_DOUBLINGS, self._read_failures[service])
-        wait_s = min(LONGEST_STORE_WAIT_S, STORE_PERIOD_S * 2.0**doublings)
+        doublings = min(MAX_STORE_DOUBLINGS, self._store_failures[service])
+        wait_s = min(MAX_STORE_POLL_DELAY_S, STORE_POLL_PERIOD_S * 2.0**doublings)
         now_s = asyncio.get_running_loop().time()
-        self._read_at_s[service] = now_s + wait_s * (0.75 + 0.5 * self._rng.random())
+        self._next_read_at_s[service] = now_s + wait_s * (0.75 + 0.5 * self._rng.random())
 
     async def _coordinate(self, service: Service) -> None:
         now_s = asyncio.get_running_loop().time()
-        self._note_everywhere(service.name, now_s)
+        self._note_rollout_complete(service.name, now_s)
         if self._fencing_number(service.name, now_s) is None:
             return
         view = SwapView(
             service=service,
-            targets=self._true_targets(service.name, now_s),
+            targets=self._targets_at_effective_version(service.name, now_s),
             in_flight=self._board.in_flight,
             latest_version=self._board.weights[service.name].latest_version,
             parallel_loads=self._board.weights[service.name].parallel_loads,
@@ -164,38 +167,38 @@
         orders = decide_swaps(view, now_s, self._policy)
         await asyncio.gather(*(self._order(service, order) for order in orders))
 
-    async def _order(self, service: Service, order: OrderVersion) -> None:
+    async def _order(self, service: Service, order: LoadOrder) -> None:
         loop = asyncio.get_running_loop()
-        # Asked again before each order: this process may have been paused since
-        # it decided. Another coordinator's newer order would be undone by ours on
-        # a target that checks no fencing number.
+        # Checked again before each order, since the process may have been paused after the
+        # decision. On a target that does not check fencing numbers, a late order would undo
+        # a newer order of another coordinator.
         fencing = self._fencing_number(service.name, loop.time())
         if fencing is None:
             return
         record = self._begin_order(order, loop.time())
-        # Kept when this task is cancelled in mid-order, as when a controller starts
-        # again: an order without an end would count as under way for ever, and no
-        # further engine would get new weights while this node lives.
-        outcome: OrderOutcome = OrderUnknown("stopped before the answer")
+        # This outcome is recorded if the task is cancelled during the order, as when a
+        # controller restarts. An order without an outcome would count as pending forever
+        # and block further loads of the service until this node restarts.
+        outcome: OrderOutcome = OrderUnknown("cancelled before the answer")
         try:
             outcome = await self._client.order_version(order.target, order.version, fencing)
         finally:
             self._end_order(order.target.address, record, outcome, loop.time())
         match outcome:
             case OrderTaken():
-                self._read_back.follow(order.target)
+                self._load_monitor.watch(order.target)
             case OrderFenced():
                 self._fenced_epochs[service.name] = fencing
         self._observer.counters[f"orders_{type(outcome).__name__}"] += 1
         self._observer.log("weights").info(
-            "Ordered %s to load version %d, attempt %d: %s.",
+            "ordered target %s to load version %d (attempt %d): %s",
             order.target.address,
             order.version,
             record.attempts,
             outcome,
         )
 
-    def _begin_order(self, order: OrderVersion, now_s: float) -> OrderRecord:
+    def _begin_order(self, order: LoadOrder, now_s: float) -> OrderRecord:
         target = order.target
         known = self._orders.get(target.address)
         same = known is not None and (known.version, known.instance) == (
@@ -210,18 +213,18 @@
     def _end_order(
         self, address: str, record: OrderRecord, outcome: OrderOutcome, now_s: float
     ) -> None:
-        wait_s = retry_wait_s(record.attempts, self._rng.random())
+        wait_s = retry_delay_s(record.attempts, self._rng.random())
         self._orders[address] = record._replace(
             outcome=outcome, answered_at_s=now_s, retry_at_s=now_s + wait_s
         )
 
     def _fencing_number(self, service: str, now_s: float) -> int | None:
-        """Return the number to order with, or None while this node may not order.
+        """Return the fencing number for orders, or None while this node may not issue any.
 
-        A target that refused it has seen a higher one: another node holds the
-        lease, whatever this node has read of the log so far.
+        A target that refused this number has seen a higher one: another node holds the
+        lease, even if this node has not read that from the log yet.
         """
-        fencing = self._leases.may_order(lease_name(service), now_s)
+        fencing = self._leases.order_fencing_number(lease_name(service), now_s)
         if fencing is None or fencing <= self._fenced_epochs.get(service, -1):
             return None
         return fencing
@@ -233,22 +236,22 @@
             known = WeightsView(info.latest_version, info.parallel_loads, now_s, math.inf)
         self._board.weights[service] = known._replace(parallel_loads=info.parallel_loads)
 
-    def _note_everywhere(self, service: str, now_s: float) -> None:
+    def _note_rollout_complete(self, service: str, now_s: float) -> None:
         known = self._board.weights[service]
         if known.everywhere_at_s != math.inf:
             return
-        targets = [t for t in self._true_targets(service, now_s) if t.reachable]
+        targets = [t for t in self._targets_at_effective_version(service, now_s) if t.reachable]
         if targets and all(target.version >= known.latest_version for target in targets):
             self._board.weights[service] = known._replace(everywhere_at_s=now_s)
             self._observer.record_s("weights_everywhere", now_s - known.first_seen_at_s)
 
-    def _true_targets(self, service: str, now_s: float) -> Sequence[TargetView]:
-        targets = [self._read_back.newest(t) for t in self._board.targets_of(service)]
-        return [t._replace(version=true_version(self._board, t, now_s)) for t in targets]
+    def _targets_at_effective_version(self, service: str, now_s: float) -> Sequence[TargetView]:
+        targets = [self._load_monitor.latest(t) for t in self._board.targets_of(service)]
+        return [t._replace(version=effective_version(self._board, t, now_s)) for t in targets]
 
-    def _report_one(self, service: str, view: WeightsView) -> Mapping[str, float]:
+    def _service_report(self, service: str, view: WeightsView) -> Mapping[str, float]:
         now_s = asyncio.get_running_loop().time()
-        targets = self._true_targets(service, now_s)
+        targets = self._targets_at_effective_version(service, now_s)
         done = view.everywhere_at_s != math.inf
         ended_at_s = view.everywhere_at_s if done else now_s
         return {
@@ -261,14 +264,14 @@
                 (self._orders[t.address].attempts for t in targets if t.address in self._orders),
                 default=0,
             ),
-            "store_failures": self._read_failures.get(service, 0),
+            "store_failures": self._store_failures.get(service, 0),
         }
 
-    def _forget_gone(self) -> None:
+    def _drop_removed_targets(self) -> None:
         for address in [a for a in self._orders if a not in self._board.targets]:
             del self._orders[address]
 
 
 def lease_name(service: str) -> str:
-    """Return the name of the lease under which a service's weights are coordinated."""
+    """Return the name of the lease for coordinating a service's weights."""
     return f"weights/{service}"
--- a/samphirecleat/controllers/weights/_leases.py
+++ b/samphirecleat/controllers/weights/_leases.py
@@ -1,10 +1,10 @@
-"""Holds the leases that this node should hold, by claims and renewals in the log.
+"""Claims and renews, through the log, the leases that this node should hold.
 
-A lease only saves work. Its epoch, the offset of the claim that won it, is the
-fencing number of the holder's orders; targets that check the number need no
-more. For those that ignore it, the holder stops issuing orders well before its
-lease ends on its own clock, and the next holder waits until the lease has ended
-and the longest order with it.
+A lease only avoids duplicate work. Its epoch, the offset of the claim that won it, is the
+fencing number of the holder's orders, and that number alone protects targets that check it.
+For targets that do not check it, the holder stops issuing orders well before the lease
+expires on its own clock, and the next holder waits until both the lease and the longest
+order have ended.
 """
 
 import asyncio
@@ -19,132 +19,138 @@
 from ...observe import Observer
 from ...peers import rank_members
 from ...platform import AppendOutcome, Log, LogUnavailableError, ReadPatience
-from ._lease_fold import NO_EPOCH, Claim, LeaseTable, claim_payload, fold_claims, read_claim
+from ._lease_fold import NO_EPOCH, LeaseClaim, LeaseTable, claim_payload, fold_claims, parse_claim
 
 CONTROL_STREAM: Final = "control"
-RENEW_FRACTION: Final = 0.4
-STOP_FRACTION: Final = 0.7
-AGAIN_FRACTION: Final = 0.1
-CANDIDATES: Final = 3
-RETRY_S: Final = 0.5
-IDLE_S: Final = 0.5
-LONG_AGO_S: Final = -1e9
+RENEW_AFTER_FRACTION: Final = 0.4
+STOP_ORDERS_FRACTION: Final = 0.7
+RETRY_APPEND_FRACTION: Final = 0.1
+CANDIDATES_PER_SERVICE: Final = 3
+READ_RETRY_S: Final = 0.5
+CANDIDACY_CHECK_S: Final = 0.5
+NEVER_S: Final = -1e9
 
 
 @dataclass(frozen=True)
 class AppendClaim:
-    """Append this claim to the log."""
+    """Append this claim or renewal to the log."""
 
-    claim: Claim
+    claim: LeaseClaim
 
 
 @dataclass(frozen=True)
-class WaitLease:
-    """Nothing is to be done now."""
+class NoLeaseAction:
+    """Append nothing now."""
 
 
-LeaseAction = AppendClaim | WaitLease
+LeaseAction = AppendClaim | NoLeaseAction
 
 
-class LeaseClock(NamedTuple):
-    """What one node's own clock knows of a lease.
+class LeaseTimestamps(NamedTuple):
+    """Times of one lease's records, on this node's clock.
 
-    ``observed_at_s`` is when this node saw the newest record that counts or
-    might count; ``sent_at_s`` is when it sent the record of its own that counted
-    last, and ``tried_at_s`` when it last sent any.
+    ``observed_at_s`` is when this node read the newest record that is or might be valid,
+    ``sent_at_s`` is when it sent its own latest valid record, and ``attempted_at_s`` is
+    when it last sent any record.
     """
 
     observed_at_s: float
-    sent_at_s: float = LONG_AGO_S
-    tried_at_s: float = LONG_AGO_S
+    sent_at_s: float = NEVER_S
+    attempted_at_s: float = NEVER_S
 
 
-class LeaseTimes(NamedTuple):
-    """How long a lease lasts, and how long the longest order under it."""
+class LeaseDurations(NamedTuple):
+    """The duration of a lease and of the longest order that is issued under it."""
 
     lease_s: float
     longest_order_s: float
 
 
-def decide_lease(
+def decide_lease_action(
     name: str,
     holder: str,
     table: LeaseTable,
-    clock: LeaseClock,
-    times: LeaseTimes,
+    timestamps: LeaseTimestamps,
+    durations: LeaseDurations,
     now_s: float,
 ) -> LeaseAction:
-    """Decide whether to claim, renew, or wait.
+    """Decide whether to claim the lease, renew it, or do nothing.
 
-    A lease that this node does not hold for certain is claimed only after it
-    went unrenewed for its length and the longest order, counted from when this
-    node saw its last record. Whether the log was down meanwhile plays no part: a
-    renewal that this node could not see makes its claim lose.
+    A lease that this node does not certainly hold is claimed only after it has gone
+    unrenewed for its duration plus that of the longest order, counted from when this node
+    read its last record. A log outage in that time does not matter: a renewal that this
+    node could not read makes its claim invalid.
     """
-    lease_s = times.lease_s
-    if now_s - clock.tried_at_s < lease_s * AGAIN_FRACTION:
-        return WaitLease()
-    claim = Claim(name, holder, secrets.token_hex(8), table.base_for(name), NO_EPOCH)
+    lease_s = durations.lease_s
+    if now_s - timestamps.attempted_at_s < lease_s * RETRY_APPEND_FRACTION:
+        return NoLeaseAction()
+    claim = LeaseClaim(name, holder, secrets.token_hex(8), table.claim_base(name), NO_EPOCH)
     lease = table.leases.get(name)
     never_claimed = lease is None and table.unread_below == 0
     if never_claimed:
         return AppendClaim(claim)
     is_own = lease is not None and lease.settled and lease.holder == holder
-    held_for_s = now_s - clock.sent_at_s
+    held_for_s = now_s - timestamps.sent_at_s
     if lease is not None and is_own and held_for_s < lease_s:
-        if held_for_s >= lease_s * RENEW_FRACTION:
+        if held_for_s >= lease_s * RENEW_AFTER_FRACTION:
             return AppendClaim(claim._replace(epoch=lease.epoch))
-        return WaitLease()
-    # A lease of its own that lapsed, as in a long pause, is waited out as well: an
-    # order of the old epoch may still be under way and would follow one of the new.
-    if now_s - clock.observed_at_s >= lease_s + times.longest_order_s:
+        return NoLeaseAction()
+    # Also wait out an expired lease of this node's own, as after a long process pause: an
+    # order of the old epoch may still be in flight and could take effect after an order of
+    # the new epoch.
+    if now_s - timestamps.observed_at_s >= lease_s + durations.longest_order_s:
         return AppendClaim(claim)
-    return WaitLease()
+    return NoLeaseAction()
 
 
-def clock_after(
-    clock: LeaseClock,
+def timestamps_after_record(
+    timestamps: LeaseTimestamps,
     lease: LeaseView,
-    claim: Claim,
+    claim: LeaseClaim,
     offset: int,
     sent_at_s: float | None,
     now_s: float,
-) -> LeaseClock:
-    """Return the clock of a lease after this node read one of its records.
+) -> LeaseTimestamps:
+    """Return the timestamps of a lease after this node read one of its records.
 
-    ``lease`` is as folded after the record or later ones; ``sent_at_s`` is when
-    this node sent the record, None for another's.
+    ``lease`` is the lease folded up to the record or beyond it. ``sent_at_s`` is when this
+    node sent the record, None for a record of another node.
     """
-    clock = clock._replace(observed_at_s=now_s)
+    timestamps = timestamps._replace(observed_at_s=now_s)
     counts = lease.holder == claim.holder and lease.epoch in (offset, claim.epoch)
     if not counts or sent_at_s is None:
-        return clock
-    # Counted from before the append: the lease may have begun then.
-    return clock._replace(sent_at_s=max(clock.sent_at_s, sent_at_s))
+        return timestamps
+    # The time before the append is used, since the lease may have begun as early as that.
+    return timestamps._replace(sent_at_s=max(timestamps.sent_at_s, sent_at_s))
 
 
 def fencing_number(
-    name: str, holder: str, table: LeaseTable, clock: LeaseClock, lease_s: float, now_s: float
+    name: str,
+    holder: str,
+    table: LeaseTable,
+    timestamps: LeaseTimestamps,
+    lease_s: float,
+    now_s: float,
 ) -> int | None:
-    """Return the epoch under which ``holder`` may issue an order now, else None."""
+    """Return the epoch with which ``holder`` may issue an order now, or None."""
     lease = table.leases.get(name)
     if lease is None or not lease.settled or lease.holder != holder:
         return None
-    if now_s - clock.sent_at_s >= lease_s * STOP_FRACTION:
+    if now_s - timestamps.sent_at_s >= lease_s * STOP_ORDERS_FRACTION:
         return None
     return lease.epoch
 
 
 def is_candidate(own_node_id: str, members: Sequence[Member], services: Collection[str]) -> bool:
-    """Tell whether this node is among the first that would hold a service's lease.
+    """Return whether this node ranks among the first candidates for any service's lease.
 
-    Only these read the control stream: the renewals of every service, read by
-    every node of a large fleet, would be more reads than the log should serve.
+    Only candidates read the control stream. If every node of a large fleet read the
+    renewals of every service, the reads would exceed what the log should serve.
     """
     return any(
         member.node_id == own_node_id
         for service in services
-        for member in rank_members(members, service)[:CANDIDATES]
+        for member in rank_members(members, service)[:CANDIDATES_PER_SERVICE]
     )
 
 
@@ -162,19 +168,23 @@
         grace_s: float,
         log_wait_s: float,
     ) -> None:
-        """Hold leases for ``lease_s``; wait ``grace_s`` more for another's to end."""
+        """Manage leases that last ``lease_s``.
+
+        ``grace_s`` is the additional wait, after another holder's lease expires, before
+        this node claims it.
+        """
         self._board = board
         self._log = log
         self._observer = observer
         self._rng = rng
-        self._times = LeaseTimes(lease_s, grace_s)
+        self._durations = LeaseDurations(lease_s, grace_s)
         self._log_wait_s = log_wait_s
         self._patience = ReadPatience()
         self._table = LeaseTable()
-        self._clocks: dict[str, LeaseClock] = {}
+        self._timestamps: dict[str, LeaseTimestamps] = {}
         self._sent_at_s: dict[str, float] = {}
-        self._gap_seen_at_s = LONG_AGO_S
-        self._is_reading = False
+        self._gap_seen_at_s = NEVER_S
+        self._is_caught_up = False
 
     @property
     def holder(self) -> str:
@@ -182,37 +192,41 @@
         identity = self._board.identity
         return f"{identity.node_id}.{identity.incarnation}"
 
-    def may_order(self, name: str, now_s: float) -> int | None:
+    def order_fencing_number(self, name: str, now_s: float) -> int | None:
         """Return the fencing number while this node may issue orders, else None."""
-        clock = self._clock(name)
-        return fencing_number(name, self.holder, self._table, clock, self._times.lease_s, now_s)
+        timestamps = self._timestamps_of(name)
+        return fencing_number(
+            name, self.holder, self._table, timestamps, self._durations.lease_s, now_s
+        )
 
     async def drive_reading(self) -> None:
-        """Fold the control stream for as long as the node lives."""
+        """Read and fold the control stream until cancelled, while this node is a candidate."""
         while True:
             if not self._should_read():
-                self._is_reading = False
-                await asyncio.sleep(IDLE_S * (0.5 + self._rng.random()))
+                self._is_caught_up = False
+                await asyncio.sleep(CANDIDACY_CHECK_S * (0.5 + self._rng.random()))
                 continue
             try:
                 await self._read_once()
             except LogUnavailableError:
-                await asyncio.sleep(RETRY_S * (0.5 + self._rng.random()))
+                await asyncio.sleep(READ_RETRY_S * (0.5 + self._rng.random()))
 
-    async def keep(self, name: str) -> None:
-        """Claim or renew one lease if it is time to."""
-        if not self._is_reading:
+    async def claim_or_renew(self, name: str) -> None:
+        """Append a claim or a renewal of one lease if it is due."""
+        if not self._is_caught_up:
             return
         now_s = asyncio.get_running_loop().time()
-        action = decide_lease(name, self.holder, self._table, self._clock(name), self._times, now_s)
+        action = decide_lease_action(
+            name, self.holder, self._table, self._timestamps_of(name), self._durations, now_s
+        )
         match action:
             case AppendClaim(claim=claim):
                 await self._append(claim, now_s)
-            case WaitLease():
+            case NoLeaseAction():
                 return
 
-    def _clock(self, name: str) -> LeaseClock:
-        return self._clocks.get(name, LeaseClock(self._gap_seen_at_s))
+    def _timestamps_of(self, name: str) -> LeaseTimestamps:
+        return self._timestamps.get(name, LeaseTimestamps(self._gap_seen_at_s))
 
     def _should_read(self) -> bool:
         own_id = self._board.identity.node_id
@@ -224,50 +238,57 @@
     async def _read_once(self) -> None:
         from_offset = self._table.next_offset
         batch = await self._patience.read(
-            self._log, CONTROL_STREAM, from_offset, self._log_wait_s if self._is_reading else 0.0
+            self._log, CONTROL_STREAM, from_offset, self._log_wait_s if self._is_caught_up else 0.0
         )
         now_s = asyncio.get_running_loop().time()
         if batch.next_offset < from_offset:
-            # The stream was set up anew. Its lower offsets would be lower fencing
-            # numbers, which targets refuse; and no claim on a later base counts.
+            # The stream was recreated. Claims at its lower offsets would yield lower
+            # fencing numbers, which targets refuse, and no claim with a later base would be
+            # valid.
             self._observer.log("lease").error(
-                "The log ends at offset %d, before %d.", batch.next_offset, from_offset
+                "control stream ends at offset %d, before the next offset to read, %d",
+                batch.next_offset,
+                from_offset,
             )
-            self._is_reading = False
-            await asyncio.sleep(RETRY_S)
+            self._is_caught_up = False
+            await asyncio.sleep(READ_RETRY_S)
             return
         before = self._table
         self._table = fold_claims(before, batch.records, batch.first_kept_offset)
         if self._table.unread_below != before.unread_below:
             self._gap_seen_at_s = now_s
-            for name, clock in self._clocks.items():
-                self._clocks[name] = clock._replace(observed_at_s=now_s)
+            for name, timestamps in self._timestamps.items():
+                self._timestamps[name] = timestamps._replace(observed_at_s=now_s)
         for record in batch.records:
             self._note_record(record, now_s)
         self._board.leases = dict(self._table.leases)
-        # Only an empty answer says that nothing newer was in the stream.
-        self._is_reading = self._is_reading or not batch.records
+        # Only an empty batch shows that the end of the stream was reached.
+        self._is_caught_up = self._is_caught_up or not batch.records
 
     def _note_record(self, record: LogRecord, now_s: float) -> None:
-        claim = read_claim(record.payload)
+        claim = parse_claim(record.payload)
         lease = self._table.leases.get(claim.lease) if claim is not None else None
         if claim is not None and lease is not None:
             sent_at_s = self._sent_at_s.get(claim.claim_id)
-            clock = self._clock(claim.lease)
-            self._clocks[claim.lease] = clock_after(
-                clock, lease, claim, record.offset, sent_at_s, now_s
+            timestamps = self._timestamps_of(claim.lease)
+            self._timestamps[claim.lease] = timestamps_after_record(
+                timestamps, lease, claim, record.offset, sent_at_s, now_s
             )
 
-    async def _append(self, claim: Claim, now_s: float) -> None:
-        self._clocks[claim.lease] = self._clock(claim.lease)._replace(tried_at_s=now_s)
-        self._forget_old(now_s)
+    async def _append(self, claim: LeaseClaim, now_s: float) -> None:
+        self._timestamps[claim.lease] = self._timestamps_of(claim.lease)._replace(
+            attempted_at_s=now_s
+        )
+        self._discard_expired(now_s)
         self._sent_at_s[claim.claim_id] = now_s
         appended = await self._log.append(CONTROL_STREAM, claim_payload(claim))
         if appended.outcome is not AppendOutcome.APPENDED:
-            self._observer.log("lease").warning("Claim of %s: %s.", claim.lease, appended.detail)
+            self._observer.log("lease").warning(
+                "could not append the claim of lease %s: %s", claim.lease, appended.detail
+            )
 
-    def _forget_old(self, now_s: float) -> None:
-        """Forget records sent so long ago that a lease from them has lapsed anyway."""
+    def _discard_expired(self, now_s: float) -> None:
+        """Discard the send times of records whose lease would have expired by now."""
         for claim_id, sent_at_s in list(self._sent_at_s.items()):
-            if now_s - sent_at_s >= self._times.lease_s:
+            if now_s - sent_at_s >= self._durations.lease_s:
                 del self._sent_at_s[claim_id]
--- a/samphirecleat/controllers/weights/_swaps.py
+++ b/samphirecleat/controllers/weights/_swaps.py
@@ -1,7 +1,7 @@
 """Decides which engines of a service load the newest weights next.
 
-A version is live on an engine only when the engine itself says so. Everything
-else that is remembered of an order only says when to look again.
+A version counts as loaded on an engine only when the engine reports it. The remembered
+state of an order only determines when to check or order again.
 """
 
 import math
@@ -13,18 +13,18 @@
 from ...config import Service
 from ...targets import OrderOutcome, OrderTaken, OrderUnknown
 
-UNKNOWN_SETTLES_AFTER_S: Final = 3.0
-TAKEN_SETTLES_AFTER_S: Final = 10.0
-FIRST_RETRY_S: Final = 0.5
-LONGEST_RETRY_S: Final = 30.0
+UNKNOWN_ORDER_TIMEOUT_S: Final = 3.0
+ACCEPTED_ORDER_TIMEOUT_S: Final = 10.0
+MIN_RETRY_DELAY_S: Final = 0.5
+MAX_RETRY_DELAY_S: Final = 30.0
 
 
 class OrderRecord(NamedTuple):
-    """The latest order that this coordinator gave one target.
+    """The latest load order that this coordinator sent to one target.
 
-    ``outcome`` is None until the order is answered, at ``answered_at_s``.
-    ``attempts`` counts the orders of this version to this instance, and
-    ``retry_at_s`` is when the next may follow.
+    ``outcome`` is None until the order is answered, at ``answered_at_s``. ``attempts``
+    counts the orders of this version to this instance, and ``retry_at_s`` is the earliest
+    time of the next one.
     """
 
     version: int
@@ -37,10 +37,10 @@
 
 
 class SwapView(NamedTuple):
-    """What the next orders of one service are decided from.
+    """The inputs to the next load orders of one service.
 
-    ``in_flight`` counts this node's own calls by target address; ``orders`` are
-    the latest orders by target address.
+    ``in_flight`` counts this node's own calls by target address; ``orders`` holds the
+    latest order by target address.
     """
 
     service: Service
@@ -51,8 +51,8 @@
     orders: Mapping[str, OrderRecord]
 
 
-class OrderVersion(NamedTuple):
-    """Order one target to load a version."""
+class LoadOrder(NamedTuple):
+    """An order to one target to load a version."""
 
     target: TargetView
     version: int
@@ -60,17 +60,17 @@
 
 @dataclass(frozen=True)
 class StalenessWeightedSwaps:
-    """As many at once as the service's ``staleness_weight`` asks for."""
+    """Load on as many engines at once as the service's ``staleness_weight`` allows."""
 
 
 @dataclass(frozen=True)
 class OneByOne:
-    """Baseline: one engine at a time."""
+    """Baseline: load on one engine at a time."""
 
 
 @dataclass(frozen=True)
 class AllAtOnce:
-    """Baseline: every engine at once, whatever the service text and the store bear."""
+    """Baseline: load on all engines at once, ignoring the limits of the service and the store."""
 
 
 SwapPolicy = StalenessWeightedSwaps | OneByOne | AllAtOnce
@@ -79,44 +79,44 @@
 
 def decide_swaps(
     view: SwapView, now_s: float, policy: SwapPolicy = DEFAULT_SWAP_POLICY
-) -> Sequence[OrderVersion]:
-    """Return the orders to give now.
+) -> Sequence[LoadOrder]:
+    """Return the load orders to send now.
 
-    Engines whose samples are past the bound come first, for trainers can use
-    them no more; then those with the least work in hand.
+    Engines whose samples exceed the staleness bound come first, since trainers can no
+    longer use them; then those with the fewest running and waiting requests.
     """
     engines = [target for target in view.targets if target.reachable and not target.leaving]
     loading = [target for target in engines if _may_be_loading(target, view, now_s)]
-    waiting = [target for target in engines if _may_be_ordered(target, view, now_s)]
-    room = _room(view, engines, loading, policy)
-    waiting.sort(key=lambda target: _rank(target, view))
-    return [OrderVersion(target, view.latest_version) for target in waiting[: max(0, room)]]
+    waiting = [target for target in engines if _can_be_ordered(target, view, now_s)]
+    free_slots = _free_swap_slots(view, engines, loading, policy)
+    waiting.sort(key=lambda target: _priority_key(target, view))
+    return [LoadOrder(target, view.latest_version) for target in waiting[: max(0, free_slots)]]
 
 
-def swaps_at_once(service: Service, engine_count: int, parallel_loads: int) -> int:
-    """Return how many engines of a service may load at one time.
+def max_concurrent_swaps(service: Service, engine_count: int, parallel_loads: int) -> int:
+    """Return how many engines of a service may load at the same time.
 
-    Loading takes an engine out of routing. A service that weighs staleness takes
-    as many as ``max_swapping_share`` and the store allow; one that weighs its
-    trainers' idle time gives up one engine's capacity at a time. All engines load
-    at once only where the share is 1.0, or there is but one.
+    An engine takes no requests while it loads. With a staleness weight of 1.0 a service
+    uses the whole of ``max_swapping_share``, within the parallel loads of the store; with
+    0.0, which favours the trainers' idle time, it loads on one engine at a time. All
+    engines load at once only if the share is 1.0 or the service has a single engine.
     """
-    most = max(1, math.floor(engine_count * service.max_swapping_share + 1e-9))
-    wanted = 1.0 + service.staleness_weight * (most - 1)
-    return max(1, min(parallel_loads, math.floor(wanted + 0.5)))
+    max_swaps = max(1, math.floor(engine_count * service.max_swapping_share + 1e-9))
+    desired_swaps = 1.0 + service.staleness_weight * (max_swaps - 1)
+    return max(1, min(parallel_loads, math.floor(desired_swaps + 0.5)))
 
 
-def retry_wait_s(attempts: int, jitter: float) -> float:
-    """Return how long to wait after a failed load; ``jitter`` is from 0.0 to 1.0.
+def retry_delay_s(attempts: int, jitter: float) -> float:
+    """Return the delay in seconds after a failed load; ``jitter`` is from 0.0 to 1.0.
 
-    It doubles with each attempt: an engine that can not load must not use up the
-    store's rate, which the others need.
+    The delay doubles with each attempt, so that an engine that cannot load does not use up
+    the store's capacity, which the other engines need.
     """
-    doubled_s: float = FIRST_RETRY_S * 2.0 ** min(10, attempts - 1)
-    return min(LONGEST_RETRY_S, doubled_s) * (0.5 + jitter)
+    doubled_s: float = MIN_RETRY_DELAY_S * 2.0 ** min(10, attempts - 1)
+    return min(MAX_RETRY_DELAY_S, doubled_s) * (0.5 + jitter)
 
 
-def _room(
+def _free_swap_slots(
     view: SwapView,
     engines: Sequence[TargetView],
     loading: Sequence[TargetView],
@@ -128,19 +128,19 @@
         case OneByOne():
             return 1 - len(loading)
         case StalenessWeightedSwaps():
-            allowed = swaps_at_once(view.service, len(engines), view.parallel_loads)
-            return allowed - len(loading)
+            max_swaps = max_concurrent_swaps(view.service, len(engines), view.parallel_loads)
+            return max_swaps - len(loading)
 
 
 def _may_be_loading(target: TargetView, view: SwapView, now_s: float) -> bool:
-    """Whether a target loads by its own word, or may by an order that is not settled."""
+    """Return whether a target reports that it is loading, or has an order that may be pending."""
     if target.loading:
         return True
     record = _current_order(target, view)
-    return record is not None and not _settled(target, record, now_s)
+    return record is not None and not _is_settled(target, record, now_s)
 
 
-def _may_be_ordered(target: TargetView, view: SwapView, now_s: float) -> bool:
+def _can_be_ordered(target: TargetView, view: SwapView, now_s: float) -> bool:
     if target.version >= view.latest_version or _may_be_loading(target, view, now_s):
         return False
     record = _current_order(target, view)
@@ -148,9 +148,10 @@
 
 
 def _current_order(target: TargetView, view: SwapView) -> OrderRecord | None:
-    """Return the order that a target may still be working on or have failed.
+    """Return the order of the latest version to this instance of a target, or None.
 
-    An order to an earlier instance at the same address says nothing of this one.
+    None is also returned once the target runs that version. An order to an earlier instance
+    at the same address does not apply to the current instance.
     """
     record = view.orders.get(target.address)
     if record is None or target.version >= view.latest_version:
@@ -160,24 +161,24 @@
     return record
 
 
-def _settled(target: TargetView, record: OrderRecord, now_s: float) -> bool:
-    """Whether the target is known to load no more because of this order.
+def _is_settled(target: TargetView, record: OrderRecord, now_s: float) -> bool:
+    """Return whether an order can no longer cause the target to load.
 
-    After its answer a report of the target tells. An order whose answer was lost
-    may still be on its way, so that a report may come too early to tell.
+    After an accepted order, the target's next report shows whether it is loading. An order
+    whose answer was lost may still be in transit, so a report may precede its arrival.
     """
     match record.outcome:
         case None:
             return False
         case OrderTaken():
             reported = target.reported_at_s > record.answered_at_s
-            return reported or now_s - record.answered_at_s > TAKEN_SETTLES_AFTER_S
+            return reported or now_s - record.answered_at_s > ACCEPTED_ORDER_TIMEOUT_S
         case OrderUnknown():
-            return now_s - record.answered_at_s > UNKNOWN_SETTLES_AFTER_S
+            return now_s - record.answered_at_s > UNKNOWN_ORDER_TIMEOUT_S
     return True
 
 
-def _rank(target: TargetView, view: SwapView) -> tuple[bool, int, str]:
+def _priority_key(target: TargetView, view: SwapView) -> tuple[bool, int, str]:
     past_bound = view.latest_version - target.version > view.service.staleness_bound
     reported = target.running + target.waiting
     work = max(reported, view.in_flight.get(target.address, 0))
--- a/samphirecleat/controllers/weights/_version_outlook.py
+++ b/samphirecleat/controllers/weights/_version_forecast.py
@@ -1,15 +1,15 @@
-"""What this node expects of versions: the trainers' and those of the targets."""
+"""Forecasts the version of a trainer's next pull, and finds targets too stale for it."""
 
 from collections import Counter
 from collections.abc import Collection
 
 from ...blackboard import Blackboard
 from ...steps import NO_VERSION, Step, TrainerPace, coming_version, stale_targets
-from ._streamed_versions import true_version
+from ._streamed_versions import effective_version
 
 
-class VersionOutlook:
-    """Follows the versions that trainers name and judges targets by them."""
+class VersionForecast:
+    """Tracks the versions that trainers name and finds the targets that are too stale for them."""
 
     def __init__(self, board: Blackboard) -> None:
         """Read targets and weights from the blackboard."""
@@ -23,7 +23,7 @@
         self._paces[trainer] = pace._replace(version=max(pace.version, version))
 
     def note_pull(self, step: Step, version: int) -> None:
-        """Record the version that a pull of a step names, before it is answered."""
+        """Record the version that a pull of a step names; call it before the pull is answered."""
         trainer = step.spec.trainer
         pace = self._paces.get(trainer, TrainerPace())
         if step.pulled and not step.done and NO_VERSION < pace.version < version:
@@ -39,31 +39,33 @@
         self._pulls[trainer] -= 1
 
     def coming_version(self, step: Step, now_s: float) -> int:
-        """Return the version that the step's trainer is expected to pull with next."""
+        """Return the version that the step's trainer is expected to name in its next pull."""
         trainer = step.spec.trainer
         pace = self._paces.get(trainer, TrainerPace())
         pace = pace._replace(pulling=self._pulls[trainer] > 0)
         return coming_version(pace, self._newest_version(step.spec.service, now_s))
 
     def stale_targets(self, step: Step, now_s: float) -> frozenset[str]:
-        """Return the targets whose weights are too old for runs of a step."""
+        """Return the addresses of the targets whose weights are too old for runs of a step."""
         targets = [
-            target._replace(version=true_version(self._board, target, now_s))
+            target._replace(version=effective_version(self._board, target, now_s))
             for target in self._board.targets_of(step.spec.service)
         ]
         return stale_targets(targets, self.coming_version(step, now_s), step.spec.staleness_bound)
 
-    def forget_others(self, trainers: Collection[str]) -> None:
-        """Forget all but these trainers, so that memory is bounded."""
+    def retain_trainers(self, trainers: Collection[str]) -> None:
+        """Drop the state of all other trainers, so that memory stays bounded."""
         for trainer in [name for name in self._paces if name not in trainers]:
             del self._paces[trainer]
             del self._pulls[trainer]
 
     def _newest_version(self, service: str, now_s: float) -> int:
-        """Return the newest version known: from the store, or live on a target.
+        """Return the newest known version, from the store or running on a target.
 
-        Only the coordinator reads the store; the targets tell all the others.
+        Only the coordinator reads the store; other nodes learn versions from the targets.
         """
         weights = self._board.weights.get(service)
-        versions = [true_version(self._board, t, now_s) for t in self._board.targets_of(service)]
+        versions = [
+            effective_version(self._board, t, now_s) for t in self._board.targets_of(service)
+        ]
         return max([*versions, weights.latest_version if weights else NO_VERSION])
--- a/tests/controllers/weights/__init__.py
+++ b/tests/controllers/weights/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of controllers.weights."""
+"""Tests of the weight rollout."""
--- a/tests/controllers/weights/weight_views.py
+++ b/tests/controllers/weights/weight_views.py
@@ -1,4 +1,4 @@
-"""A service and an engine as the tests of weights see them."""
+"""Builders of a service and an engine for the weight tests."""
 
 from samphirecleat.blackboard import TargetView
 from samphirecleat.config import Service, ServiceKind
