--- a/samphirecleat/controllers/steps/__init__.py
+++ b/samphirecleat/controllers/steps/__init__.py
@@ -1,4 +1,4 @@
-"""Training steps: registered, run as samples, handed to trainers."""
+"""Training steps: registration, sample generation and delivery to trainers."""
 
 from ._step_registry import StepRegistry
 from ._step_runner import StepRunner
--- a/samphirecleat/controllers/steps/_sample_maker.py
+++ b/samphirecleat/controllers/steps/_sample_producer.py
@@ -1,4 +1,4 @@
-"""Makes one sample: generation with its spans as they come, then its score."""
+"""Produces one sample: a streamed generation and its score."""
 
 import asyncio
 import random
@@ -14,16 +14,16 @@
 
 SAMPLE_DEADLINE_S: Final = 600.0
 SCORE_DEADLINE_S: Final = 30.0
-SCORE_ATTEMPTS: Final = 8
-FIRST_SCORE_RETRY_S: Final = 0.1
-LONGEST_SCORE_RETRY_S: Final = 3.0
-SpanHook = Callable[[Run, Span], None]
+MAX_SCORE_ATTEMPTS: Final = 8
+MIN_SCORE_RETRY_DELAY_S: Final = 0.1
+MAX_SCORE_RETRY_DELAY_S: Final = 3.0
+SpanCallback = Callable[[Run, Span], None]
 
 
-class _ProgressLog(AnswerLog):
-    """An answer that also keeps its run's progress as its lines come in."""
+class _ProgressTrackingAnswer(AnswerLog):
+    """An answer that also records its run's progress as its lines arrive."""
 
-    def __init__(self, run: Run, on_span: SpanHook) -> None:
+    def __init__(self, run: Run, on_span: SpanCallback) -> None:
         super().__init__()
         self._run = run
         self._on_span = on_span
@@ -36,33 +36,33 @@
         super().add(line)
 
 
-class SampleMaker:
-    """Sends the calls of one sample through the dispatcher."""
+class SampleProducer:
+    """Sends the calls for one sample through the dispatcher."""
 
     def __init__(self, board: Blackboard, dispatcher: Dispatcher, rng: random.Random) -> None:
-        """Take calls' jitter from ``rng``."""
+        """Use ``rng`` for the jitter of score retries."""
         self._board = board
         self._dispatcher = dispatcher
         self._rng = rng
 
-    async def make(
-        self, spec: StepSpec, run: Run, excluded: Collection[str], on_span: SpanHook
+    async def produce(
+        self, spec: StepSpec, run: Run, excluded: Collection[str], on_span: SpanCallback
     ) -> Sample:
-        """Return the sample of a run; its spans hold all tokens that came.
+        """Return the sample of a run; its spans cover all tokens that were received.
 
-        A score that fails is asked for again with the same text: generating
-        anew would cost far more and gain nothing.
+        A failed score is retried with the same text, since generating again would cost far
+        more and gain nothing.
 
-        :raises samphirecleat.errors.RequestError: when there is no sample.
+        :raises samphirecleat.errors.RequestError: if the generation or the scoring fails.
         """
         request_id = self._request_id(spec, run)
         body = {
             "prompt": spec.prompt_of(run.position),
             "max_tokens": spec.max_tokens_of(run.position),
-            # Streamed, so that a run's progress and versions are known as it goes on.
+            # Streamed, so that the run's progress and versions are known while it runs.
             "stream": True,
         }
-        answer = _ProgressLog(run, on_span)
+        answer = _ProgressTrackingAnswer(run, on_span)
         await self._call(spec.service, "generate", body, request_id, answer, excluded)
         text: list[str] = []
         spans: list[Span] = []
@@ -73,11 +73,13 @@
             target = line.get("target", target)
             run_id = line.get("run_id", run_id)
         if not spans:
-            raise RequestError(ErrorKind.TARGET_FAILED, "the engine made no token")
+            raise RequestError(ErrorKind.TARGET_FAILED, "the engine returned no tokens")
         run.generated_at_s = asyncio.get_running_loop().time()
-        whole = "".join(text)
-        score = await self._score(spec, whole, request_id)
-        return Sample(run.position, whole, merge_spans(spans), score, target, run_id, request_id)
+        full_text = "".join(text)
+        score = await self._score(spec, full_text, request_id)
+        return Sample(
+            run.position, full_text, merge_spans(spans), score, target, run_id, request_id
+        )
 
     async def _score(self, spec: StepSpec, text: str, request_id: str) -> float | None:
         if not spec.scoring:
@@ -88,10 +90,10 @@
             try:
                 return await self._score_once(spec.scoring, text, f"{request_id}/score-{attempt}")
             except RequestError as error:
-                if attempt >= SCORE_ATTEMPTS or error.kind is ErrorKind.UNKNOWN_SERVICE:
+                if attempt >= MAX_SCORE_ATTEMPTS or error.kind is ErrorKind.UNKNOWN_SERVICE:
                     raise
-                doubled_s = FIRST_SCORE_RETRY_S * 2.0 ** (attempt - 1)
-                wait_s = max(error.retry_after_s, min(LONGEST_SCORE_RETRY_S, doubled_s))
+                doubled_s = MIN_SCORE_RETRY_DELAY_S * 2.0 ** (attempt - 1)
+                wait_s = max(error.retry_after_s, min(MAX_SCORE_RETRY_DELAY_S, doubled_s))
                 await asyncio.sleep(wait_s * (0.5 + self._rng.random()))
 
     async def _score_once(self, service: str, text: str, request_id: str) -> float:
@@ -101,8 +103,11 @@
             try:
                 return float(line["result"]["score"])
             except (KeyError, TypeError, ValueError) as error:
-                raise RequestError(ErrorKind.TARGET_FAILED, "the score is no number") from error
-        raise RequestError(ErrorKind.TARGET_FAILED, "the scoring service gave no score")
+                raise RequestError(
+                    ErrorKind.TARGET_FAILED,
+                    "the scoring service returned a score that is not a number",
+                ) from error
+        raise RequestError(ErrorKind.TARGET_FAILED, "the scoring service returned no score")
 
     async def _call(
         self,
--- a/samphirecleat/controllers/steps/_step_runner.py
+++ b/samphirecleat/controllers/steps/_step_runner.py
@@ -1,4 +1,4 @@
-"""Starts, copies and cancels the runs of the steps that this node works on."""
+"""Starts, copies and cancels the runs of this node's steps."""
 
 import asyncio
 import random
@@ -23,16 +23,16 @@
 )
 from ..admission import Dispatcher, Limiter
 from ..weights import StreamedVersionTracker
-from ._sample_maker import SampleMaker
+from ._sample_producer import SampleProducer
 from ._step_registry import StepRegistry
 
-TICK_S: Final = 0.05
-IDLE_TICK_S: Final = 1.0
+PASS_PERIOD_S: Final = 0.05
+IDLE_PASS_PERIOD_S: Final = 1.0
 ABANDONED_AFTER_S: Final = 15.0
 
 
 class StepRunner:
-    """Makes the samples of the steps at a :class:`StepRegistry`."""
+    """Produces the samples for the steps of a :class:`StepRegistry`."""
 
     def __init__(
         self,
@@ -44,14 +44,14 @@
         rng: random.Random,
         copy_policy: CopyPolicy = DEFAULT_COPY_POLICY,
     ) -> None:
-        """Wire the parts that make samples."""
+        """Create a runner; :meth:`drive` starts it."""
         self._board = board
         self._registry = registry
         self._limiter = limiter
         self._observer = observer
         self._rng = rng
         self._copy_policy = copy_policy
-        self._maker = SampleMaker(board, dispatcher, rng)
+        self._producer = SampleProducer(board, dispatcher, rng)
         self._streamed = StreamedVersionTracker(board)
         self._tasks: dict[Run, asyncio.Task[None]] = {}
         self._shares: defaultdict[str, ShareBook] = defaultdict(ShareBook)
@@ -60,31 +60,31 @@
 
     @property
     def running(self) -> int:
-        """How many runs go on."""
+        """The number of runs in progress."""
         return len(self._tasks)
 
     async def drive(self) -> None:
-        """Start and cancel runs for as long as the node lives.
+        """Start and cancel runs until cancelled.
 
-        Every sample that ends, pull and submission brings a pass at once; the
-        tick is for what nothing tells of, as when callers leave room.
+        Each pull, each submission and the end of each sample triggers a pass at once. The
+        periodic pass covers changes without an event, such as slots that callers free.
         """
         loop = asyncio.get_running_loop()
         while True:
-            tick_s = TICK_S if self._registry.steps else IDLE_TICK_S
-            await wait_for_event(self._registry.work, tick_s)
-            self._registry.work.clear()
+            period_s = PASS_PERIOD_S if self._registry.steps else IDLE_PASS_PERIOD_S
+            await wait_for_event(self._registry.work_available, period_s)
+            self._registry.work_available.clear()
             self.run_pass(loop.time())
 
     def run_pass(self, now_s: float) -> None:
-        """Cancel what is of no use any more and start what there is room for."""
-        for step in self._registry.forget_old(now_s):
+        """Cancel runs that are no longer useful and start new ones in the free slots."""
+        for step in self._registry.evict_expired(now_s):
             for run in list(step.runs):
                 self._cancel(step, run)
         self._streamed.drop_removed_targets()
         by_service: dict[str, list[Step]] = defaultdict(list)
         for step in self._registry.steps.values():
-            self._cancel_useless(step, now_s)
+            self._cancel_stale_runs(step, now_s)
             by_service[step.spec.service].append(step)
         self._board.active_trainers = {
             service: frozenset(step.spec.trainer for step in steps if not step.done)
@@ -98,7 +98,7 @@
                 self._start_runs(service, active, now_s)
 
     async def close(self) -> None:
-        """Cancel the runs of this node."""
+        """Cancel the runs of this node and wait for them to end."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
@@ -107,10 +107,10 @@
     def _start_runs(self, service: str, steps: Sequence[Step], now_s: float) -> None:
         targets = self._board.targets_of(service)
         placement = find_free_slots(targets, self._board.in_flight)
-        room = min(self._limiter.trainer_room(service), placement.free_slots)
+        free_slots = min(self._limiter.trainer_room(service), placement.free_slots)
         usable = frozenset(target.address for target in targets if target.usable)
-        room = self._start_copies(service, steps, usable, placement, room, now_s)
-        self._start_first_runs(service, steps, usable, placement, room, now_s)
+        free_slots = self._start_copies(service, steps, usable, placement, free_slots, now_s)
+        self._start_first_runs(service, steps, usable, placement, free_slots, now_s)
 
     def _start_copies(
         self,
@@ -118,23 +118,23 @@
         steps: Sequence[Step],
         usable: frozenset[str],
         placement: Placement,
-        room: int,
+        free_slots: int,
         now_s: float,
     ) -> int:
-        """Start second copies of runs that are late; return the room left.
+        """Start second copies of straggling runs; return the number of slots left.
 
-        They go before first runs: a late run is on the step's critical path, and
-        the budget keeps copies few.
+        Copies start before first runs, since a straggler is on the step's critical path and
+        the copy budget keeps copies few.
         """
         pace = self._paces[service].pace
         for step in steps:
-            for late in step.copies_wanted(self._copy_policy, pace, room, now_s):
-                excluded = self._excluded(step, placement, now_s) | {late.target}
+            for slow_run in step.copies_wanted(self._copy_policy, pace, free_slots, now_s):
+                excluded = self._excluded_targets(step, placement, now_s) | {slow_run.target}
                 if usable - excluded:
-                    run = step.note_copied(late, pace, now_s)
+                    run = step.note_copied(slow_run, pace, now_s)
                     self._start(step, run, excluded)
-                    room -= 1
-        return room
+                    free_slots -= 1
+        return free_slots
 
     def _start_first_runs(
         self,
@@ -142,41 +142,41 @@
         steps: Sequence[Step],
         usable: frozenset[str],
         placement: Placement,
-        room: int,
+        free_slots: int,
         now_s: float,
     ) -> None:
-        """Start runs, the trainers in turn by their shares."""
-        excluded = {id(step): self._excluded(step, placement, now_s) for step in steps}
+        """Start first runs, choosing between trainers by their shares."""
+        excluded = {id(step): self._excluded_targets(step, placement, now_s) for step in steps}
         book = self._shares[service]
-        # A step without a target that is new enough waits, and holds up no other.
-        waiting = _by_trainer([step for step in steps if usable - excluded[id(step)]])
-        while room > 0 and waiting:
-            trainer = book.next_trainer(waiting)
-            step = next((s for s in waiting[trainer] if s.next_start(now_s) is not None), None)
+        # A step without a sufficiently new target waits without delaying other steps.
+        startable = _by_trainer([step for step in steps if usable - excluded[id(step)]])
+        while free_slots > 0 and startable:
+            trainer = book.next_trainer(startable)
+            step = next((s for s in startable[trainer] if s.next_start(now_s) is not None), None)
             if step is None:
-                del waiting[trainer]
+                del startable[trainer]
                 continue
             position = step.next_start(now_s)
             assert position is not None
             self._start(step, step.note_started(position, now_s), excluded[id(step)])
-            room -= 1
+            free_slots -= 1
         book.rest({step.spec.trainer for step in steps})
 
-    def _excluded(self, step: Step, placement: Placement, now_s: float) -> frozenset[str]:
+    def _excluded_targets(self, step: Step, placement: Placement, now_s: float) -> frozenset[str]:
         return self._registry.version_forecast.stale_targets(step, now_s) | placement.full
 
     def _start(self, step: Step, run: Run, excluded: frozenset[str]) -> None:
         spec = step.spec
         shares = {name: t.share for name, t in self._board.config.services.trainers.items()}
         self._shares[spec.service].charge(spec.trainer, run.expected_tokens, shares)
-        task = asyncio.get_running_loop().create_task(self._make(step, run, excluded))
+        task = asyncio.get_running_loop().create_task(self._produce(step, run, excluded))
         self._tasks[run] = task
         task.add_done_callback(lambda _task: self._tasks.pop(run, None))
 
-    async def _make(self, step: Step, run: Run, excluded: frozenset[str]) -> None:
+    async def _produce(self, step: Step, run: Run, excluded: frozenset[str]) -> None:
         loop = asyncio.get_running_loop()
         try:
-            sample = await self._maker.make(step.spec, run, excluded, self._note_span)
+            sample = await self._producer.produce(step.spec, run, excluded, self._note_span)
         except RequestError as error:
             self._observer.counters[f"samples_failed_{error.kind.value}"] += 1
             step.note_failed(run, loop.time(), self._rng.random())
@@ -187,25 +187,26 @@
             for other in step.note_made(run, sample):
                 self._cancel(step, other)
         finally:
-            self._registry.work.set()
+            self._registry.work_available.set()
 
     def _note_span(self, run: Run, span: Span) -> None:
         self._streamed.note_token(run.target, span.version, asyncio.get_running_loop().time())
 
     def _back_off(self, service: str, error: RequestError, now_s: float) -> None:
-        """Let a service that has no room rest; the jitter keeps nodes out of step."""
+        """Pause an overloaded service's runs; the jitter keeps nodes from retrying in unison."""
         if error.kind is ErrorKind.OVERLOADED:
             wait_s = error.retry_after_s * (0.5 + self._rng.random())
             self._resume_at_s[service] = max(self._resume_at_s[service], now_s + wait_s)
 
-    def _cancel_useless(self, step: Step, now_s: float) -> None:
+    def _cancel_stale_runs(self, step: Step, now_s: float) -> None:
         coming = self._registry.version_forecast.coming_version(step, now_s)
         for run in step.expect_version(coming):
             self._observer.counters["runs_cancelled_stale"] += 1
             self._cancel(step, run)
 
     def _cancel(self, step: Step, run: Run) -> None:
-        # Booked here and not in the task: a task that never began sees no cancellation.
+        # Recorded here, since a task that is cancelled before it starts never handles the
+        # cancellation.
         step.note_cancelled(run)
         task = self._tasks.get(run)
         if task is not None:
@@ -213,13 +214,13 @@
 
 
 def _by_trainer(steps: Sequence[Step]) -> dict[str, list[Step]]:
-    """Return the steps of each trainer, the oldest first."""
-    found: dict[str, list[Step]] = defaultdict(list)
+    """Return the steps of each trainer, oldest first."""
+    by_trainer: dict[str, list[Step]] = defaultdict(list)
     for step in steps:
-        found[step.spec.trainer].append(step)
-    return found
+        by_trainer[step.spec.trainer].append(step)
+    return by_trainer
 
 
 def _abandoned(step: Step, now_s: float) -> bool:
-    """Whether its trainer pulled before and went silent, as one that moved to another node."""
+    """Return whether the step's trainer has stopped pulling, as after moving to another node."""
     return step.pulled and now_s - step.touched_at_s > ABANDONED_AFTER_S
--- a/tests/controllers/steps/__init__.py
+++ b/tests/controllers/steps/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of controllers.steps."""
+"""Tests of training steps."""
--- a/tests/controllers/steps/test_step_runner.py
+++ b/tests/controllers/steps/test_step_runner.py
@@ -1,4 +1,4 @@
-"""The step runner on scripted targets: copies, staleness, back-off, scoring, memory."""
+"""Tests of the step runner on a scripted dispatcher: copies, staleness, back-off and limits."""
 
 import asyncio
 import random
@@ -18,15 +18,15 @@
 from samphirecleat.steps import Pull, PullReply, StepSpec
 
 TOKENS = 5
-Behaviour = Callable[[Call, AnswerLog], Awaitable[None]]
+CallHandler = Callable[[Call, AnswerLog], Awaitable[None]]
 
 
-class ScriptedTargets:
-    """Stands where the dispatcher is: runs each call as the test's behaviour says."""
+class ScriptedDispatcher:
+    """Replaces the dispatcher; runs each call with the test's ``call_handler``."""
 
     def __init__(self, board: Blackboard) -> None:
         self.board = board
-        self.behaviour: Behaviour = self.generate
+        self.call_handler: CallHandler = self.generate
         self.calls: list[Call] = []
         self.cancelled: list[Call] = []
 
@@ -38,7 +38,7 @@
             else:
                 usable = [a for a in self.board.targets if a not in call.excluded_targets]
                 answer.target = usable[0]
-                await self.behaviour(call, answer)
+                await self.call_handler(call, answer)
             answer.close()
         except RequestError as error:
             answer.close(error)
@@ -61,35 +61,35 @@
         return [call for call in self.calls if call.method == "generate"]
 
 
-class FixedRoom:
-    """Stands where the limiter is: ``room`` runs at a time."""
+class FixedLimiter:
+    """Replaces the limiter; allows ``free_slots`` runs at a time."""
 
-    def __init__(self, runner_calls: Callable[[], int], room: int) -> None:
-        self.room = room
-        self._running = runner_calls
+    def __init__(self, running_count: Callable[[], int], free_slots: int) -> None:
+        self.free_slots = free_slots
+        self._running_count = running_count
 
     def trainer_room(self, _service: str) -> int:
-        return self.room - self._running()
+        return self.free_slots - self._running_count()
 
 
-class Rig:
-    """A runner with two engines, a scoring service, and two trainers in the text."""
+class RunnerFixture:
+    """A runner with two engines, a scoring service and two configured trainers."""
 
-    def __init__(self, room: int = 64) -> None:
+    def __init__(self, free_slots: int = 64) -> None:
         self.board = Blackboard(Identity("n", "i", "z", "", ""))
         engine = Service("asesor", ServiceKind.ENGINE, (), (), {}, 8, True, True, 1, 0.5, 0.5, 0.7)
         services = {"asesor": engine, "scoring": engine._replace(name="scoring")}
         trainers = {"a": Trainer("a", "asesor", 3.0), "b": Trainer("b", "asesor", 1.0)}
         self.board.config = ConfigState()._replace(services=ServiceText(services, trainers))
-        self.targets = ScriptedTargets(self.board)
+        self.dispatcher = ScriptedDispatcher(self.board)
         for name in ("engine-1", "engine-2"):
             self.set_version(name, 0)
         self.registry = StepRegistry(self.board, Observer("n"))
         self.runner = StepRunner(
             self.board,
             self.registry,
-            self.targets,
-            FixedRoom(lambda: self.runner.running, room),
+            self.dispatcher,
+            FixedLimiter(lambda: self.runner.running, free_slots),
             Observer("n"),
             random.Random(1),
         )
@@ -111,211 +111,217 @@
         pull = Pull(number, version, held, 5.0, 512, "client")
         return await self.registry.pull(spec.trainer, spec.step_id, pull)
 
-    async def whole_step(self, spec: StepSpec, version: int = 0) -> dict[int, str]:
-        """Pull until everything is held; each position must come once."""
-        got: dict[int, str] = {}
+    async def pull_whole_step(self, spec: StepSpec, version: int = 0) -> dict[int, str]:
+        """Pull until all samples are received; assert that each position comes once."""
+        received: dict[int, str] = {}
         number = 0
-        while len(got) < spec.size:
+        while len(received) < spec.size:
             number += 1
             assert number < 200
-            reply = await self.pull(spec, number, version, frozenset(got))
+            reply = await self.pull(spec, number, version, frozenset(received))
             for sample in reply.samples:
-                assert sample.position not in got
-                got[sample.position] = sample.request_id
-        return got
+                assert sample.position not in received
+                received[sample.position] = sample.request_id
+        return received
 
-    async def until(self, condition: Callable[[], bool]) -> None:
-        give_up_at_s = asyncio.get_running_loop().time() + 10.0
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        timeout_at_s = asyncio.get_running_loop().time() + 10.0
         while not condition():
-            assert asyncio.get_running_loop().time() < give_up_at_s
+            assert asyncio.get_running_loop().time() < timeout_at_s
             await asyncio.sleep(0.005)
 
 
-def drive(body: Callable[[Rig], Awaitable[None]], room: int = 64) -> None:
+def run_scenario(
+    scenario: Callable[[RunnerFixture], Awaitable[None]], free_slots: int = 64
+) -> None:
     async def run() -> None:
-        rig = Rig(room)
-        task = asyncio.ensure_future(rig.runner.drive())
+        fixture = RunnerFixture(free_slots)
+        task = asyncio.ensure_future(fixture.runner.drive())
         try:
-            await asyncio.wait_for(body(rig), 30.0)
+            await asyncio.wait_for(scenario(fixture), 30.0)
         finally:
             task.cancel()
-            await rig.runner.close()
+            await fixture.runner.close()
 
     asyncio.run(run())
 
 
-def test_a_straggler_gets_a_second_copy_elsewhere_and_the_loser_is_cancelled() -> None:
-    """An engine goes silent with one sample of a step in hand.
+def test_straggler_gets_copy_on_another_target_and_slower_run_is_cancelled() -> None:
+    """Guards against a step that waits for an engine which hangs with one sample.
 
-    Without a copy the trainer waits for the whole timeout of that one call.
+    Without a copy the trainer would wait for the whole timeout of that call.
     """
 
-    async def body(rig: Rig) -> None:
-        spec = rig.spec(16)
-        rig.registry.submit(spec, frozenset())
+    async def scenario(fixture: RunnerFixture) -> None:
+        spec = fixture.spec(16)
+        fixture.registry.submit(spec, frozenset())
 
         async def hang_once(call: Call, answer: AnswerLog) -> None:
-            if "/7/" in call.request_id and len(seen) < 1:
-                seen.append(call)
+            if "/7/" in call.request_id and len(hung_calls) < 1:
+                hung_calls.append(call)
                 answer.add({"text": "t", "spans": [Span(0, 1)]})
                 await asyncio.Event().wait()
-            await rig.targets.generate(call, answer)
-
-        seen: list[Call] = []
-        rig.targets.behaviour = hang_once
-        got = await rig.whole_step(spec)
-        assert got[7] != seen[0].request_id
-        await rig.until(lambda: rig.targets.cancelled == seen)
-        copies = [call for call in rig.targets.generations if "/7/" in call.request_id]
+            await fixture.dispatcher.generate(call, answer)
+
+        hung_calls: list[Call] = []
+        fixture.dispatcher.call_handler = hang_once
+        received = await fixture.pull_whole_step(spec)
+        assert received[7] != hung_calls[0].request_id
+        await fixture.wait_until(lambda: fixture.dispatcher.cancelled == hung_calls)
+        copies = [call for call in fixture.dispatcher.generations if "/7/" in call.request_id]
         assert [sorted(call.excluded_targets) for call in copies] == [[], ["engine-1"]]
-        assert rig.registry.steps["a", "s"].wasted_tokens == 1
+        assert fixture.registry.steps["a", "s"].wasted_tokens == 1
 
-    drive(body)
+    run_scenario(scenario)
 
 
-def test_runs_whose_oldest_span_passes_the_bound_are_cancelled_and_made_again() -> None:
-    """Weights move on twice while a generation runs.
+def test_runs_past_staleness_bound_are_cancelled_and_restarted() -> None:
+    """Guards against a step that stalls when weights change twice during a generation.
 
-    Left alone it ends as a sample that is dropped at the pull, and the step stalls.
+    If it were not cancelled, the run would end in a sample that is dropped at the pull.
     """
 
-    async def body(rig: Rig) -> None:
-        spec = rig.spec(1)
-        rig.registry.submit(spec, frozenset(), version=0)
+    async def scenario(fixture: RunnerFixture) -> None:
+        spec = fixture.spec(1)
+        fixture.registry.submit(spec, frozenset(), version=0)
 
         async def slow_under_old_weights(call: Call, answer: AnswerLog) -> None:
-            if rig.board.targets[answer.target].version == 0:
+            if fixture.board.targets[answer.target].version == 0:
                 answer.add({"text": "t", "spans": [Span(0, 1)]})
                 await asyncio.Event().wait()
-            await rig.targets.generate(call, answer)
+            await fixture.dispatcher.generate(call, answer)
 
-        rig.targets.behaviour = slow_under_old_weights
-        await rig.until(lambda: len(rig.targets.generations) == 1)
-        for name in rig.board.targets:
-            rig.set_version(name, 2)
-        rig.registry.submit(spec, frozenset(), version=2)
-        await rig.whole_step(spec, version=2)
-        assert len(rig.targets.cancelled) == 1
+        fixture.dispatcher.call_handler = slow_under_old_weights
+        await fixture.wait_until(lambda: len(fixture.dispatcher.generations) == 1)
+        for name in fixture.board.targets:
+            fixture.set_version(name, 2)
+        fixture.registry.submit(spec, frozenset(), version=2)
+        await fixture.pull_whole_step(spec, version=2)
+        assert len(fixture.dispatcher.cancelled) == 1
 
-    drive(body)
+    run_scenario(scenario)
 
 
-def test_runs_are_not_started_on_engines_that_are_too_old() -> None:
-    """One engine is behind, as after a failed swap; the other is up to date."""
+def test_runs_are_not_started_on_stale_engines() -> None:
+    """Guards against runs on an engine that kept old weights, as after a failed swap."""
 
-    async def body(rig: Rig) -> None:
-        rig.set_version("engine-2", 4)
-        spec = rig.spec(8)
-        rig.registry.submit(spec, frozenset(), version=4)
-        await rig.whole_step(spec, version=4)
-        assert all(call.excluded_targets == {"engine-1"} for call in rig.targets.generations)
+    async def scenario(fixture: RunnerFixture) -> None:
+        fixture.set_version("engine-2", 4)
+        spec = fixture.spec(8)
+        fixture.registry.submit(spec, frozenset(), version=4)
+        await fixture.pull_whole_step(spec, version=4)
+        assert all(call.excluded_targets == {"engine-1"} for call in fixture.dispatcher.generations)
 
-    drive(body)
+    run_scenario(scenario)
 
 
-def test_a_service_without_room_is_left_alone_for_the_time_it_names() -> None:
-    """The evening peak takes all slots.
+def test_runs_pause_for_retry_after_of_overloaded_service() -> None:
+    """Guards against immediate retries for hundreds of samples at peak load.
 
-    Asked again at once for each of hundreds of samples, it would only get slower.
+    Callers hold all slots, and the retries would slow the service further.
     """
 
-    async def body(rig: Rig) -> None:
-        spec = rig.spec(40)
-        started = []
+    async def scenario(fixture: RunnerFixture) -> None:
+        spec = fixture.spec(40)
+        started_at_s = []
 
         async def refuse_first(call: Call, answer: AnswerLog) -> None:
-            started.append(asyncio.get_running_loop().time())
-            if len(started) <= 4:
+            started_at_s.append(asyncio.get_running_loop().time())
+            if len(started_at_s) <= 4:
                 raise RequestError(ErrorKind.OVERLOADED, "full", retry_after_s=0.4)
-            await rig.targets.generate(call, answer)
+            await fixture.dispatcher.generate(call, answer)
 
-        rig.targets.behaviour = refuse_first
-        rig.registry.submit(spec, frozenset())
-        await rig.whole_step(spec)
-        assert started[4] - started[3] >= 0.2
+        fixture.dispatcher.call_handler = refuse_first
+        fixture.registry.submit(spec, frozenset())
+        await fixture.pull_whole_step(spec)
+        assert started_at_s[4] - started_at_s[3] >= 0.2
 
-    drive(body, room=4)
+    run_scenario(scenario, free_slots=4)
 
 
-def test_a_score_that_fails_is_asked_for_again_with_the_same_text() -> None:
-    """The scoring service is down for a moment.
+def test_failed_score_is_retried_with_same_text() -> None:
+    """Guards against a new generation when the scoring service fails briefly.
 
-    Generating anew for it would cost a whole sample, and the step its time.
+    That would cost a whole sample and delay the step.
     """
 
-    async def body(rig: Rig) -> None:
-        spec = rig.spec(1, scoring="scoring")
+    async def scenario(fixture: RunnerFixture) -> None:
+        spec = fixture.spec(1, scoring="scoring")
         failures = [ErrorKind.OVERLOADED, ErrorKind.TARGET_FAILED]
-        score = rig.targets.score
+        score = fixture.dispatcher.score
 
         async def fail_first(call: Call, answer: AnswerLog) -> None:
             if failures:
                 raise RequestError(failures.pop(), "down")
             await score(call, answer)
 
-        rig.targets.score = fail_first
-        rig.registry.submit(spec, frozenset())
-        await rig.whole_step(spec)
-        assert Counter(call.method for call in rig.targets.calls) == {"generate": 1, "score": 3}
+        fixture.dispatcher.score = fail_first
+        fixture.registry.submit(spec, frozenset())
+        await fixture.pull_whole_step(spec)
+        assert Counter(call.method for call in fixture.dispatcher.calls) == {
+            "generate": 1,
+            "score": 3,
+        }
 
-    drive(body)
+    run_scenario(scenario)
 
 
-def test_trainers_share_a_service_by_their_shares() -> None:
-    """Two trainers submit long steps at once; the one that comes first must not take all."""
+def test_trainers_use_a_service_in_proportion_to_their_shares() -> None:
+    """Guards against the first of two trainers with long steps taking all slots."""
 
-    async def body(rig: Rig) -> None:
+    async def scenario(fixture: RunnerFixture) -> None:
         for trainer in ("a", "b"):
-            rig.registry.submit(rig.spec(60, trainer), frozenset())
-        await rig.until(lambda: len(rig.targets.generations) >= 48)
-        counts = Counter(call.request_id[0] for call in rig.targets.generations[:48])
+            fixture.registry.submit(fixture.spec(60, trainer), frozenset())
+        await fixture.wait_until(lambda: len(fixture.dispatcher.generations) >= 48)
+        counts = Counter(call.request_id[0] for call in fixture.dispatcher.generations[:48])
         assert 2.0 <= counts["a"] / counts["b"] <= 4.0
 
-    drive(body, room=4)
+    run_scenario(scenario, free_slots=4)
 
 
-def test_a_leaving_node_starts_nothing_and_hands_out_what_still_ends() -> None:
-    """A node drains in the middle of a step.
+def test_leaving_node_starts_no_runs_and_delivers_those_in_flight() -> None:
+    """Guards against lost samples when a node drains in the middle of a step.
 
-    Its runs in flight must reach the trainer, and the rest be made elsewhere.
+    Its runs in flight must reach the trainer; the other samples are produced on another
+    node.
     """
 
-    async def body(rig: Rig) -> None:
-        spec = rig.spec(6)
-        rig.registry.submit(spec, frozenset())
-        await rig.until(lambda: len(rig.targets.generations) == 2)
-        rig.board.leaving = True
-        got: set[int] = set()
+    async def scenario(fixture: RunnerFixture) -> None:
+        spec = fixture.spec(6)
+        fixture.registry.submit(spec, frozenset())
+        await fixture.wait_until(lambda: len(fixture.dispatcher.generations) == 2)
+        fixture.board.leaving = True
+        received: set[int] = set()
         for number in range(1, 20):
-            reply = await rig.pull(spec, number, held=frozenset(got))
-            got |= {sample.position for sample in reply.samples}
+            reply = await fixture.pull(spec, number, held=frozenset(received))
+            received |= {sample.position for sample in reply.samples}
             if reply.leaving:
                 break
         assert reply.leaving
-        assert len(got) == 2
-        rig.runner.run_pass(asyncio.get_running_loop().time())
+        assert len(received) == 2
+        fixture.runner.run_pass(asyncio.get_running_loop().time())
         await asyncio.sleep(0.01)
-        assert len(rig.targets.generations) == 2
+        assert len(fixture.dispatcher.generations) == 2
 
-    drive(body, room=2)
+    run_scenario(scenario, free_slots=2)
 
 
-def test_a_node_holds_no_more_steps_than_it_may(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Trainers submit step after step and never pull.
+def test_submission_beyond_sample_limit_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against unbounded memory use when trainers submit steps and never pull.
 
-    Without a bound the node's memory would grow until it dies with all its steps.
+    The node would run out of memory and lose all its steps.
     """
     monkeypatch.setattr(step_registry, "MAX_SAMPLES", 20)
 
-    async def body(rig: Rig) -> None:
-        rig.registry.submit(rig.spec(15), frozenset())
-        rig.registry.submit(rig.spec(15), frozenset())
+    async def scenario(fixture: RunnerFixture) -> None:
+        fixture.registry.submit(fixture.spec(15), frozenset())
+        fixture.registry.submit(fixture.spec(15), frozenset())
         with pytest.raises(RequestError) as refused:
-            rig.registry.submit(rig.spec(6, step_id="s2"), frozenset())
+            fixture.registry.submit(fixture.spec(6, step_id="s2"), frozenset())
         assert refused.value.kind is ErrorKind.OVERLOADED
         assert refused.value.retry_after_s > 0
 
-    drive(body)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -325,56 +331,56 @@
         ({"service": "gone", "step_id": "s2"}, ErrorKind.UNKNOWN_SERVICE),
     ],
 )
-def test_a_step_that_can_not_be_taken_is_refused_with_its_kind(
+def test_invalid_submission_is_refused_with_its_error_kind(
     changes: dict[str, object], kind: ErrorKind
 ) -> None:
-    async def body(rig: Rig) -> None:
-        rig.registry.submit(rig.spec(2), frozenset())
+    async def scenario(fixture: RunnerFixture) -> None:
+        fixture.registry.submit(fixture.spec(2), frozenset())
         with pytest.raises(RequestError) as refused:
-            rig.registry.submit(rig.spec(2, **changes), frozenset())
+            fixture.registry.submit(fixture.spec(2, **changes), frozenset())
         assert refused.value.kind is kind
 
-    drive(body)
+    run_scenario(scenario)
 
 
-def test_a_step_that_is_held_whole_is_forgotten_and_the_next_pull_says_so(
+def test_completed_step_is_evicted_and_next_pull_reports_unknown_step(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(step_registry, "FORGET_DONE_AFTER_S", 0.05)
-
-    async def body(rig: Rig) -> None:
-        spec = rig.spec(2)
-        rig.registry.submit(spec, frozenset())
-        await rig.whole_step(spec)
-        await rig.pull(spec, 100, held=frozenset({0, 1}))
-        await rig.until(lambda: not rig.registry.steps)
+    monkeypatch.setattr(step_registry, "EVICT_DONE_AFTER_S", 0.05)
+
+    async def scenario(fixture: RunnerFixture) -> None:
+        spec = fixture.spec(2)
+        fixture.registry.submit(spec, frozenset())
+        await fixture.pull_whole_step(spec)
+        await fixture.pull(spec, 100, held=frozenset({0, 1}))
+        await fixture.wait_until(lambda: not fixture.registry.steps)
         with pytest.raises(RequestError) as unknown:
-            await rig.pull(spec, 101)
+            await fixture.pull(spec, 101)
         assert unknown.value.kind is ErrorKind.UNKNOWN_STEP
 
-    drive(body)
+    run_scenario(scenario)
 
 
-def test_a_trainers_idle_time_and_staleness_are_on_the_report() -> None:
-    async def body(rig: Rig) -> None:
-        spec = rig.spec(4)
-        rig.registry.submit(spec, frozenset(), version=1)
-        await rig.whole_step(spec, version=1)
-        report = rig.registry.trainers_report(asyncio.get_running_loop().time())
+def test_report_holds_idle_time_and_staleness_of_trainers() -> None:
+    async def scenario(fixture: RunnerFixture) -> None:
+        spec = fixture.spec(4)
+        fixture.registry.submit(spec, frozenset(), version=1)
+        await fixture.pull_whole_step(spec, version=1)
+        report = fixture.registry.trainers_report(asyncio.get_running_loop().time())
         assert report["a"]["staleness_versions"] == {"1": 4}
         assert report["a"]["idle_s"] > 0
         assert report["a"]["samples_sent"] == 4
 
-    drive(body)
+    run_scenario(scenario)
 
 
-def test_a_cancel_in_the_same_moment_as_an_event_is_not_lost() -> None:
-    """A node stops just as a sample ends.
+def test_cancellation_concurrent_with_event_is_not_lost() -> None:
+    """Guards against a node that never stops because a sample ended at the same moment.
 
-    Were the cancel lost, the node would never end, and its host could not be replaced.
+    Its host could then not be replaced.
     """
 
-    async def body() -> None:
+    async def scenario() -> None:
         event = asyncio.Event()
 
         async def loop_for_ever() -> None:
@@ -391,4 +397,4 @@
         done, _pending = await asyncio.wait({task}, timeout=2.0)
         assert done == {task}
 
-    asyncio.run(body())
+    asyncio.run(scenario())
