--- a/samphirecleat/controllers/targets/_target_news.py
+++ b/samphirecleat/controllers/targets/_target_news.py
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         """Start with nothing heard."""
-        self.heard: OrderedDict[str, Heard] = OrderedDict()
+        self.polled_targets: OrderedDict[str, Heard] = OrderedDict()
         self.changed: set[str] = set()
         self._fresh: OrderedDict[str, None] = OrderedDict()
         self._by_key: dict[int, str] = {}
@@ -45,9 +45,9 @@
 
     def keep_only(self, wanted: Collection[str]) -> None:
         """Forget targets that no service names any more."""
-        for address in set(self.heard) - set(wanted):
-            del self.heard[address]
-        self._by_key = {k: a for k, a in self._by_key.items() if a in self.heard}
+        for address in set(self.polled_targets) - set(wanted):
+            del self.polled_targets[address]
+        self._by_key = {k: a for k, a in self._by_key.items() if a in self.polled_targets}
 
     def note(
         self, view: TargetView, polled_at_s: float, now_s: float, *, tell_first: bool = False
@@ -62,7 +62,7 @@
         instance at its address takes work again. An older answer that comes round
         late would otherwise bring it back.
         """
-        known = self.heard.get(view.address)
+        known = self.polled_targets.get(view.address)
         if known is not None:
             if polled_at_s <= known.polled_at_s:
                 return False
@@ -76,7 +76,7 @@
                 self._by_key.pop(known.key, None)
             self._by_key[key] = view.address
         if is_news and (known is not None or tell_first):
-            self._untold[view.address] = 3 + math.ceil(math.log2(len(self.heard) + 1))
+            self._untold[view.address] = 3 + math.ceil(math.log2(len(self.polled_targets) + 1))
         return is_news
 
     def load(self, message: Message, now_s: float) -> Message:
@@ -87,7 +87,7 @@
         """Take in loads; one of a target that this node knows otherwise is passed over."""
         for load in loads:
             address = self._by_key.get(load.key)
-            known = self.heard.get(address) if address is not None else None
+            known = self.polled_targets.get(address) if address is not None else None
             if known is None or known.key != load.key:
                 continue
             polled_at_s = now_s - load.poll_age_ms / 1000.0
@@ -103,7 +103,7 @@
     def silent_since(self, before_s: float) -> Sequence[str]:
         """Return targets last asked before a time, the longest silent first."""
         silent: list[str] = []
-        for address, heard in self.heard.items():
+        for address, heard in self.polled_targets.items():
             if heard.polled_at_s >= before_s:
                 break
             silent.append(address)
@@ -111,9 +111,9 @@
 
     def _put(self, heard: Heard, now_s: float) -> None:
         address = heard.view.address
-        self.heard[address] = heard
+        self.polled_targets[address] = heard
         # The start of the dictionary holds what was silent longest, more or less.
-        self.heard.move_to_end(address)
+        self.polled_targets.move_to_end(address)
         self.changed.add(address)
         if now_s - heard.polled_at_s <= FRESH_S:
             self._fresh[address] = None
@@ -128,24 +128,24 @@
             self._untold[address] -= 1
             if not self._untold[address]:
                 del self._untold[address]
-            if address in self.heard:
-                rows.append(make_row(self.heard[address], now_s))
+            if address in self.polled_targets:
+                rows.append(make_row(self.polled_targets[address], now_s))
         if not rows:
             turn = self._next_in_turn(1)
-            rows = [make_row(self.heard[address], now_s) for address in turn]
+            rows = [make_row(self.polled_targets[address], now_s) for address in turn]
         return rows
 
     def _loads(self, now_s: float) -> Sequence[TargetLoad]:
-        fresh = [address for address in self._fresh if address in self.heard]
-        others = self._next_in_turn(min(OTHER_LOADS, len(self.heard) - len(fresh)))
+        fresh = [address for address in self._fresh if address in self.polled_targets]
+        others = self._next_in_turn(min(OTHER_LOADS, len(self.polled_targets) - len(fresh)))
         chosen = dict.fromkeys([*fresh, *others])
-        return [_make_load(self.heard[address], now_s) for address in chosen]
+        return [_make_load(self.polled_targets[address], now_s) for address in chosen]
 
     def _next_in_turn(self, count: int) -> Sequence[str]:
         if not self._turn:
-            self._turn = list(self.heard)
+            self._turn = list(self.polled_targets)
         taken = [self._turn.pop() for _n in range(min(count, len(self._turn)))]
-        return [address for address in taken if address in self.heard]
+        return [address for address in taken if address in self.polled_targets]
 
 
 def view_of_row(row: TargetRow, known: TargetView, now_s: float) -> TargetView:
--- a/samphirecleat/controllers/targets/_target_watch.py
+++ b/samphirecleat/controllers/targets/_target_watch.py
@@ -192,7 +192,7 @@
         wanted = self._wanted.get(row.address)
         if wanted is None:
             return
-        known = self.gossip.heard.get(row.address)
+        known = self.gossip.polled_targets.get(row.address)
         if known is not None and known.view.reachable and not row.reachable:
             # Another node's path may be at fault: believe only an own question.
             self._doubted.setdefault(row.address, 0.0)
@@ -204,7 +204,7 @@
 
     async def _ask(self, address: str) -> None:
         wanted = self._wanted[address]
-        heard = self.gossip.heard.get(address)
+        heard = self.gossip.polled_targets.get(address)
         known = heard.view if heard is not None else wanted
         asked_at_s = asyncio.get_running_loop().time()
         self.polls += 1
@@ -237,8 +237,10 @@
 
     def _view(self, now_s: float) -> WatchView:
         unheard: Sequence[str] = ()
-        if len(self.gossip.heard) < len(self._wanted):
-            unheard = [address for address in self._wanted if address not in self.gossip.heard]
+        if len(self.gossip.polled_targets) < len(self._wanted):
+            unheard = [
+                address for address in self._wanted if address not in self.gossip.polled_targets
+            ]
         silent = self.gossip.silent_since(now_s - silent_after_s(len(self._wanted)))
         return WatchView(self._owned, [*unheard, *silent], self._doubted)
 
@@ -249,7 +251,7 @@
         now_s = asyncio.get_running_loop().time()
         for address in addresses:
             wanted = self._wanted[address]
-            heard = self.gossip.heard.get(address)
+            heard = self.gossip.polled_targets.get(address)
             view = heard.view if heard is not None else wanted
             listed = board.listed_targets.get(address)
             board.targets[address] = view._replace(
--- a/tests/controllers/targets/test_target_watch.py
+++ b/tests/controllers/targets/test_target_watch.py
@@ -86,7 +86,7 @@
     """
     gossip = news_with(SEEN._replace(leaving=True), 100.0)
     gossip.note(SEEN._replace(leaving=True)._replace(**changes), polled_at_s, NOW_S)
-    view = gossip.heard[ADDRESS].view
+    view = gossip.polled_targets[ADDRESS].view
     assert {name: getattr(view, name) for name in expected} == expected
 
 
@@ -96,7 +96,7 @@
     teller.note(SEEN._replace(running=5, reported_at_s=100.7), 101.0, 101.0)
     message = teller.load(ping(), 101.5)
     hearer.unload_loads(message.loads, 201.5)
-    heard = hearer.heard[ADDRESS]
+    heard = hearer.polled_targets[ADDRESS]
     assert heard.view.running == 5
     assert heard.polled_at_s == pytest.approx(201.0, abs=0.01)
     assert heard.view.reported_at_s == pytest.approx(200.7, abs=0.01)
@@ -108,7 +108,7 @@
     hearer.note(SEEN._replace(instance="boot-2", running=1), 100.5, 100.5)
     teller.note(SEEN._replace(running=5), 101.0, 101.0)
     hearer.unload_loads(teller.load(ping(), 101.0).loads, 101.0)
-    assert hearer.heard[ADDRESS].view.running == 1
+    assert hearer.polled_targets[ADDRESS].view.running == 1
 
 
 @pytest.mark.parametrize("changes", [{"leaving": True}, {"reachable": False}])
@@ -122,10 +122,10 @@
     teller.note(SEEN._replace(**changes), 101.0, 101.0)
     message = teller.load(ping(), 101.0)
     hearer.unload_loads(message.loads, 101.0)
-    assert hearer.heard[ADDRESS].polled_at_s == 100.0
-    row = make_row(teller.heard[ADDRESS], 101.0)
+    assert hearer.polled_targets[ADDRESS].polled_at_s == 100.0
+    row = make_row(teller.polled_targets[ADDRESS], 101.0)
     assert hearer.note(view_of_row(row, SEEN, 101.0), 101.0 - row.poll_age_ms / 1000.0, 101.0)
-    view = hearer.heard[ADDRESS].view
+    view = hearer.polled_targets[ADDRESS].view
     assert {name: getattr(view, name) for name in changes} == changes
 
 
@@ -180,7 +180,7 @@
         await watch.poll_once()
         assert board.targets[ADDRESS].usable
         asked = answers.asked
-        row = make_row(watch.gossip.heard[ADDRESS], now_s)
+        row = make_row(watch.gossip.polled_targets[ADDRESS], now_s)
         watch.unload(ping(row._replace(reachable=False, poll_age_ms=0)), now_s + 0.1)
         await watch.poll_once()
         assert answers.asked == asked + 1
@@ -201,7 +201,9 @@
         await watch.poll_once()
         assert not board.targets[ADDRESS].usable
         answers.reachable = True
-        watch.unload(ping(make_row(watch.gossip.heard[ADDRESS], 0.0)._replace(reachable=True)), 1.0)
+        watch.unload(
+            ping(make_row(watch.gossip.polled_targets[ADDRESS], 0.0)._replace(reachable=True)), 1.0
+        )
         await watch.poll_once()
         assert board.targets[ADDRESS].usable
 
@@ -259,7 +261,7 @@
         await watch.poll_once()
         watch.distrust_all()
         assert not board.targets[ADDRESS].usable
-        heard = watch.gossip.heard[ADDRESS]
+        heard = watch.gossip.polled_targets[ADDRESS]
         teller = news_with(heard.view._replace(running=3), heard.polled_at_s)
         told_at_s = heard.polled_at_s + 1.0
         teller.note(heard.view._replace(running=4), told_at_s, told_at_s)
