--- a/tests/controllers/targets/__init__.py
+++ b/tests/controllers/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of controllers.targets."""
+"""Tests of target polling and gossip."""
--- a/tests/controllers/targets/test_target_watch.py
+++ b/tests/controllers/targets/test_target_watch.py
@@ -1,4 +1,4 @@
-"""Who asks a target, and what is believed of what others say."""
+"""Tests of which node polls a target, and how reports from other nodes are merged."""
 
 import asyncio
 import random
@@ -8,11 +8,11 @@
 from samphirecleat.blackboard import Blackboard, Identity, MemberView, TargetView
 from samphirecleat.config import read_service_text
 from samphirecleat.controllers.membership._discovery import ListedNews, reading_period_s
-from samphirecleat.controllers.targets._target_news import TargetGossip, make_row, view_of_row
+from samphirecleat.controllers.targets._target_gossip import TargetGossip, make_row, view_from_row
 from samphirecleat.controllers.targets._target_watch import (
-    FALLBACK_POLLS,
+    MAX_SILENT_POLLS,
+    PollView,
     TargetWatch,
-    WatchView,
     decide_polls,
     is_target_report_expired,
     silent_after_s,
@@ -24,41 +24,41 @@
 
 NOW_S = 100.0
 ADDRESS = "10.0.0.1:8000"
-SEEN = TargetView(
+VIEW = TargetView(
     ADDRESS, "asesor", "z", "boot-1", 7, slots=8, reported_at_s=NOW_S - 0.3, reachable=True
 )
 
 
 @pytest.mark.parametrize(
-    ("view", "asked"),
+    ("view", "polled"),
     [
-        pytest.param(WatchView(["a"], [], {}), ["a"], id="its own"),
-        pytest.param(WatchView(["a"], ["a", "b"], {}), ["a", "b"], id="a silent one too"),
-        pytest.param(WatchView([], [], {"c": NOW_S + 1}), [], id="doubted, not yet due"),
-        pytest.param(WatchView([], [], {"c": NOW_S}), ["c"], id="doubted and due"),
-        pytest.param(WatchView([], ["c"], {"c": NOW_S + 1}), [], id="doubted and silent"),
+        pytest.param(PollView(["a"], [], {}), ["a"], id="owned"),
+        pytest.param(PollView(["a"], ["a", "b"], {}), ["a", "b"], id="owned and silent"),
+        pytest.param(PollView([], [], {"c": NOW_S + 1}), [], id="suspected, not due"),
+        pytest.param(PollView([], [], {"c": NOW_S}), ["c"], id="suspected, due"),
+        pytest.param(PollView([], ["c"], {"c": NOW_S + 1}), [], id="suspected and silent"),
         pytest.param(
-            WatchView([], [str(n) for n in range(500)], {}),
-            [str(n) for n in range(FALLBACK_POLLS)],
+            PollView([], [str(n) for n in range(500)], {}),
+            [str(n) for n in range(MAX_SILENT_POLLS)],
             id="all silent",
         ),
     ],
 )
-def test_which_targets_a_node_asks(view, asked) -> None:
-    """The node that asks a target for all others dies, or the news of it is lost.
+def test_which_targets_a_node_polls(view, polled) -> None:
+    """Guards against targets that no node polls, and against all nodes polling all targets.
 
-    Were nobody to ask then, the others would route by what it said long ago; were
-    all to ask for all at once, the targets would be flooded.
+    The node that owns a target dies, or its reports are lost. Without a fallback the others
+    would route by outdated reports; without a limit their polls would flood the targets.
     """
-    assert decide_polls(view, NOW_S) == asked
+    assert decide_polls(view, NOW_S) == polled
 
 
-def test_silence_is_noticed_in_time_today() -> None:
-    """A target begins to leave just as the node that watches it dies."""
+def test_silent_target_is_polled_within_leave_limit() -> None:
+    """Guards against late detection of a target that begins to leave as its owner dies."""
     assert silent_after_s(16) + 0.5 < 3.0
 
 
-def news_with(view: TargetView, polled_at_s: float) -> TargetGossip:
+def gossip_with(view: TargetView, polled_at_s: float) -> TargetGossip:
     gossip = TargetGossip()
     gossip.note(view, polled_at_s, NOW_S)
     return gossip
@@ -67,96 +67,96 @@
 @pytest.mark.parametrize(
     ("changes", "polled_at_s", "expected"),
     [
-        pytest.param({"version": 8}, 99.0, {"version": 7}, id="asked earlier"),
-        pytest.param({"version": 8}, 101.0, {"version": 8}, id="asked later"),
+        pytest.param({"version": 8}, 99.0, {"version": 7}, id="polled earlier"),
+        pytest.param({"version": 8}, 101.0, {"version": 8}, id="polled later"),
         pytest.param({"leaving": False}, 101.0, {"leaving": True}, id="leaving is kept"),
         pytest.param(
             {"leaving": False, "instance": "boot-2"},
             101.0,
             {"leaving": False, "instance": "boot-2"},
-            id="a new instance stays",
+            id="new instance is not leaving",
         ),
     ],
 )
-def test_what_is_known_after_another_answer(changes, polled_at_s, expected) -> None:
-    """Answers of one target come round by several nodes, late and out of order.
+def test_merge_of_reports_out_of_order(changes, polled_at_s, expected) -> None:
+    """Guards against an old report replacing a newer one.
 
-    If an old one won, work would go to a target that leaves, or be counted to
-    weights that it no longer has.
+    Reports of a target arrive through several nodes, late and out of order. Work would go
+    to a target that is leaving, or be attributed to weights that it no longer has.
     """
-    gossip = news_with(SEEN._replace(leaving=True), 100.0)
-    gossip.note(SEEN._replace(leaving=True)._replace(**changes), polled_at_s, NOW_S)
+    gossip = gossip_with(VIEW._replace(leaving=True), 100.0)
+    gossip.note(VIEW._replace(leaving=True)._replace(**changes), polled_at_s, NOW_S)
     view = gossip.polled_targets[ADDRESS].view
     assert {name: getattr(view, name) for name in expected} == expected
 
 
-def test_a_load_reaches_another_node_with_its_age() -> None:
-    """Routing discounts a report by its age, which must count the way round too."""
-    teller, hearer = news_with(SEEN, 100.0), news_with(SEEN, 99.0)
-    teller.note(SEEN._replace(running=5, reported_at_s=100.7), 101.0, 101.0)
-    message = teller.load(ping(), 101.5)
-    hearer.unload_loads(message.loads, 201.5)
-    heard = hearer.polled_targets[ADDRESS]
-    assert heard.view.running == 5
-    assert heard.polled_at_s == pytest.approx(201.0, abs=0.01)
-    assert heard.view.reported_at_s == pytest.approx(200.7, abs=0.01)
+def test_load_keeps_its_age_across_nodes() -> None:
+    """Guards against routing by a report's age that omits its time in transit."""
+    sender, receiver = gossip_with(VIEW, 100.0), gossip_with(VIEW, 99.0)
+    sender.note(VIEW._replace(running=5, reported_at_s=100.7), 101.0, 101.0)
+    message = sender.attach(ping_message(), 101.5)
+    receiver.merge_loads(message.loads, 201.5)
+    polled_target = receiver.polled_targets[ADDRESS]
+    assert polled_target.view.running == 5
+    assert polled_target.polled_at_s == pytest.approx(201.0, abs=0.01)
+    assert polled_target.view.reported_at_s == pytest.approx(200.7, abs=0.01)
 
 
-def test_a_load_of_another_instance_is_passed_over() -> None:
-    """A target restarted at its address and the load of its old life comes round."""
-    teller, hearer = news_with(SEEN, 100.0), news_with(SEEN, 100.0)
-    hearer.note(SEEN._replace(instance="boot-2", running=1), 100.5, 100.5)
-    teller.note(SEEN._replace(running=5), 101.0, 101.0)
-    hearer.unload_loads(teller.load(ping(), 101.0).loads, 101.0)
-    assert hearer.polled_targets[ADDRESS].view.running == 1
+def test_load_of_another_instance_is_ignored() -> None:
+    """Guards against the load of a former instance that arrives after a restart."""
+    sender, receiver = gossip_with(VIEW, 100.0), gossip_with(VIEW, 100.0)
+    receiver.note(VIEW._replace(instance="boot-2", running=1), 100.5, 100.5)
+    sender.note(VIEW._replace(running=5), 101.0, 101.0)
+    receiver.merge_loads(sender.attach(ping_message(), 101.0).loads, 101.0)
+    assert receiver.polled_targets[ADDRESS].view.running == 1
 
 
 @pytest.mark.parametrize("changes", [{"leaving": True}, {"reachable": False}])
-def test_a_load_does_not_vouch_for_what_a_target_was_before(changes: dict[str, object]) -> None:
-    """A target says that it leaves, and its load of the same answer arrives before its row.
+def test_load_does_not_confirm_outdated_target_state(changes: dict[str, object]) -> None:
+    """Guards against a load that hides a target's change to leaving or unreachable.
 
-    The load was taken for the newest word of a target that stays: the row, no newer, was passed
-    over, and work went on to the target for as long as loads came.
+    The load of the same poll arrives before the row. It was applied to the old state, the
+    row was ignored as no newer, and work went to the target for as long as loads arrived.
     """
-    teller, hearer = news_with(SEEN, 100.0), news_with(SEEN, 100.0)
-    teller.note(SEEN._replace(**changes), 101.0, 101.0)
-    message = teller.load(ping(), 101.0)
-    hearer.unload_loads(message.loads, 101.0)
-    assert hearer.polled_targets[ADDRESS].polled_at_s == 100.0
-    row = make_row(teller.polled_targets[ADDRESS], 101.0)
-    assert hearer.note(view_of_row(row, SEEN, 101.0), 101.0 - row.poll_age_ms / 1000.0, 101.0)
-    view = hearer.polled_targets[ADDRESS].view
+    sender, receiver = gossip_with(VIEW, 100.0), gossip_with(VIEW, 100.0)
+    sender.note(VIEW._replace(**changes), 101.0, 101.0)
+    message = sender.attach(ping_message(), 101.0)
+    receiver.merge_loads(message.loads, 101.0)
+    assert receiver.polled_targets[ADDRESS].polled_at_s == 100.0
+    row = make_row(sender.polled_targets[ADDRESS], 101.0)
+    assert receiver.note(view_from_row(row, VIEW, 101.0), 101.0 - row.poll_age_ms / 1000.0, 101.0)
+    view = receiver.polled_targets[ADDRESS].view
     assert {name: getattr(view, name) for name in changes} == changes
 
 
-def test_the_size_of_the_news_does_not_grow_with_the_targets() -> None:
+def test_message_size_is_independent_of_target_count() -> None:
     gossip = TargetGossip()
     for index in range(600):
-        gossip.note(SEEN._replace(address=f"10.0.0.{index}:1"), 100.0, 100.0)
-    message = gossip.load(ping(), 100.0)
+        gossip.note(VIEW._replace(address=f"10.0.0.{index}:1"), 100.0, 100.0)
+    message = gossip.attach(ping_message(), 100.0)
     assert len(message.loads) + len(message.targets) <= 25
 
 
-def ping(*targets: TargetRow) -> Message:
+def ping_message(*targets: TargetRow) -> Message:
     rows = [MemberRow(make_member("n2", "b"), 0)]
     return Message(MessageKind.PING, 1, "", 1, rows, [], list(targets))
 
 
-class Answers:
-    """Stands in for the client of targets; ``reachable`` can be switched."""
+class FakeTargetClient:
+    """A target client for one target, whose ``reachable`` state the test sets."""
 
     def __init__(self) -> None:
         self.reachable = True
-        self.asked = 0
+        self.poll_count = 0
 
     async def report(self, _target: TargetView, now_s: float) -> TargetView:
-        """Answer as the one target would."""
-        self.asked += 1
-        return SEEN._replace(reachable=self.reachable, reported_at_s=now_s)
+        """Return the report of the target."""
+        self.poll_count += 1
+        return VIEW._replace(reachable=self.reachable, reported_at_s=now_s)
 
 
-def make_watch() -> tuple[Blackboard, TargetWatch, Answers]:
-    """Return a watch whose one target is asked by another node, n2."""
+def make_watch() -> tuple[Blackboard, TargetWatch, FakeTargetClient]:
+    """Return a watch with one target, which another node, n2, owns."""
     board = Blackboard(Identity("n1", "a", "z", "h", "p"))
     text = (
         '{"services": {"asesor": {"kind": "engine", "capacity_per_target": 8, '
@@ -164,45 +164,48 @@
     )
     board.config = board.config._replace(revision=1, services=read_service_text(text))
     board.members["n2"] = MemberView(make_member("n2", "b"), NOW_S, alive=True)
-    answers = Answers()
-    return board, TargetWatch(board, answers, 0.5, random.Random(1)), answers
+    client = FakeTargetClient()
+    return board, TargetWatch(board, client, 0.5, random.Random(1)), client
 
 
-def test_word_of_an_unreachable_target_is_checked_first() -> None:
-    """The watcher's own path to a target fails, and it calls the target unreachable.
+def test_unreachable_report_from_peer_is_verified() -> None:
+    """Guards against losing a whole service because of one node's faulty network path.
 
-    If all believed it, a whole service could be lost to one bad path.
+    The target's owner cannot reach it and reports it as unreachable.
     """
 
     async def scenario() -> None:
-        board, watch, answers = make_watch()
+        board, watch, client = make_watch()
         now_s = asyncio.get_running_loop().time()
         await watch.poll_once()
         assert board.targets[ADDRESS].usable
-        asked = answers.asked
+        polled = client.poll_count
         row = make_row(watch.gossip.polled_targets[ADDRESS], now_s)
-        watch.unload(ping(row._replace(reachable=False, poll_age_ms=0)), now_s + 0.1)
+        watch.unload(ping_message(row._replace(reachable=False, poll_age_ms=0)), now_s + 0.1)
         await watch.poll_once()
-        assert answers.asked == asked + 1
+        assert client.poll_count == polled + 1
         assert board.targets[ADDRESS].usable
 
     asyncio.run(scenario())
 
 
-def test_a_refused_connection_takes_a_target_out_of_use_until_it_answers() -> None:
-    """A target ends without a word; this node's own call is the first to notice."""
+def test_target_is_unusable_after_refused_connection_until_it_answers() -> None:
+    """Guards against work sent to a stopped target that no other node has noticed yet."""
 
     async def scenario() -> None:
-        board, watch, answers = make_watch()
+        board, watch, client = make_watch()
         await watch.poll_once()
-        answers.reachable = False
+        client.reachable = False
         watch.note_refused(ADDRESS)
         assert not board.targets[ADDRESS].usable
         await watch.poll_once()
         assert not board.targets[ADDRESS].usable
-        answers.reachable = True
+        client.reachable = True
         watch.unload(
-            ping(make_row(watch.gossip.polled_targets[ADDRESS], 0.0)._replace(reachable=True)), 1.0
+            ping_message(
+                make_row(watch.gossip.polled_targets[ADDRESS], 0.0)._replace(reachable=True)
+            ),
+            1.0,
         )
         await watch.poll_once()
         assert board.targets[ADDRESS].usable
@@ -211,25 +214,25 @@
 
 
 @pytest.mark.parametrize(
-    ("heard_ago_s", "target_count", "unheard"),
+    ("age_s", "target_count", "is_expired"),
     [(0.5, 14, False), (2.7, 14, False), (2.8, 14, True), (14.0, 600, False), (23.0, 600, True)],
 )
-def test_a_target_nobody_asked_for_long_gets_nothing_new(
-    heard_ago_s, target_count, unheard
-) -> None:
-    """A target's watcher freezes, the target says that it leaves, and then this node freezes.
+def test_target_with_expired_report_gets_no_new_work(age_s, target_count, is_expired) -> None:
+    """Guards against new work for a leaving target after two pauses.
 
-    This node served by a view of it from before the watcher froze; its operator saw
-    the leaving target get a request after three seconds.
+    The target's owner pauses, the target reports leaving, and then this node pauses. This
+    node dispatched by a view from before the owner's pause, so the target got a request
+    after three seconds.
     """
-    target = TargetView("10.0.0.1:8000", "asesor", "z", heard_at_s=100.0 - heard_ago_s)
-    assert is_target_report_expired(target, target_count, 100.0) is unheard
+    target = TargetView("10.0.0.1:8000", "asesor", "z", heard_at_s=100.0 - age_s)
+    assert is_target_report_expired(target, target_count, 100.0) is is_expired
 
 
-def test_a_watch_that_starts_again_trusts_no_target_at_once() -> None:
-    """The watch fails and starts again two seconds later; a target left meanwhile.
+def test_restarted_watch_uses_no_target_before_host_list_is_read() -> None:
+    """Guards against new work for a target that left while the watch was restarting.
 
-    It left by the host list alone, so that its own answer does not tell.
+    The watch fails and restarts two seconds later. Only the host list shows that the target
+    is leaving; its own report does not.
     """
 
     async def scenario() -> None:
@@ -250,22 +253,22 @@
     asyncio.run(scenario())
 
 
-def test_after_a_pause_no_target_is_used_before_it_answers() -> None:
-    """A node's process freezes, a target begins to leave, and the node wakes.
+def test_no_target_is_used_after_pause_before_it_answers() -> None:
+    """Guards against new work for a target that began to leave during a pause of this node.
 
-    The target may say so itself or the host list may; the one alone is not enough.
+    Either the target's report or the host list may show it, so both are required.
     """
 
     async def scenario() -> None:
         board, watch, _answers = make_watch()
         await watch.poll_once()
-        watch.distrust_all()
+        watch.mark_all_unreachable()
         assert not board.targets[ADDRESS].usable
-        heard = watch.gossip.polled_targets[ADDRESS]
-        teller = news_with(heard.view._replace(running=3), heard.polled_at_s)
-        told_at_s = heard.polled_at_s + 1.0
-        teller.note(heard.view._replace(running=4), told_at_s, told_at_s)
-        watch.unload(teller.load(ping(), told_at_s)._replace(targets=[]), told_at_s)
+        polled_target = watch.gossip.polled_targets[ADDRESS]
+        sender = gossip_with(polled_target.view._replace(running=3), polled_target.polled_at_s)
+        sent_at_s = polled_target.polled_at_s + 1.0
+        sender.note(polled_target.view._replace(running=4), sent_at_s, sent_at_s)
+        watch.unload(sender.attach(ping_message(), sent_at_s)._replace(targets=[]), sent_at_s)
         assert board.targets[ADDRESS].running == 4
         assert not board.targets[ADDRESS].usable
         await watch.poll_once()
@@ -277,8 +280,8 @@
     asyncio.run(scenario())
 
 
-def test_leaving_by_the_host_list_holds_whatever_the_target_says() -> None:
-    """The host list shows a target as leaving before the target itself knows."""
+def test_host_list_leaving_state_overrides_target_report() -> None:
+    """Guards against new work for a target that is leaving by the host list only."""
 
     async def scenario() -> None:
         board, watch, _answers = make_watch()
@@ -289,24 +292,24 @@
     asyncio.run(scenario())
 
 
-def test_of_two_readings_of_the_host_list_the_later_counts() -> None:
-    """One node reads the list, another tells of an earlier reading of its own."""
-    here, there = ListedNews(), ListedNews()
+def test_later_host_list_read_takes_precedence() -> None:
+    """Guards against an earlier read by another node replacing this node's later one."""
+    local, remote = ListedNews(), ListedNews()
     row = ListedHost(ADDRESS, "asesor", "z", leaving=False)
-    there.read([row], 100.0)
-    here.read([row._replace(leaving=True)], 105.0)
-    for change in there.tell(106.0):
-        here.hear(change, 106.0)
-    assert [r.leaving for r in here.present()] == [True]
-    for change in here.tell(106.0):
-        there.hear(change, 106.0)
-    assert [r.leaving for r in there.present()] == [True]
-    here.read([], 107.0)
-    for change in here.tell(108.0):
-        there.hear(change, 108.0)
-    assert list(there.present()) == []
-
-
-def test_many_nodes_together_read_the_list_no_more_often_than_a_few() -> None:
+    remote.read([row], 100.0)
+    local.read([row._replace(leaving=True)], 105.0)
+    for change in remote.tell(106.0):
+        local.hear(change, 106.0)
+    assert [r.leaving for r in local.present()] == [True]
+    for change in local.tell(106.0):
+        remote.hear(change, 106.0)
+    assert [r.leaving for r in remote.present()] == [True]
+    local.read([], 107.0)
+    for change in local.tell(108.0):
+        remote.hear(change, 108.0)
+    assert list(remote.present()) == []
+
+
+def test_total_host_list_read_rate_is_bounded() -> None:
     assert reading_period_s(1.0, 13) == 1.0
     assert 390 / reading_period_s(1.0, 390) == pytest.approx(16.0)
