--- a/samphirecleat/controllers/steps/_step_registry.py
+++ b/samphirecleat/controllers/steps/_step_registry.py
@@ -44,6 +44,9 @@
     ) -> Step:
         """Add a step, or return the existing one; submitting the same step again is safe.
 
+        ``held`` are the positions that the trainer already has. ``version`` is the version
+        that the trainer names.
+
         :raises samphirecleat.errors.RequestError: STEP_CONFLICT if the step exists with
             other contents, UNKNOWN_SERVICE, or OVERLOADED if this node is at its limit of
             steps or samples.
--- a/samphirecleat/controllers/targets/_target_watch.py
+++ b/samphirecleat/controllers/targets/_target_watch.py
@@ -26,8 +26,8 @@
     """The inputs to one round of polls.
 
     ``owned`` are the targets that this node polls for all nodes. ``silent`` are those
-    without a report for too long, the oldest report first. ``suspected`` are those that
-    this node takes for unreachable, with the time of the next poll.
+    without a report for too long, the oldest report first. ``suspected`` are those that may
+    be unreachable, with the time of the next poll.
     """
 
     owned: Collection[str]
@@ -71,9 +71,9 @@
 def is_target_report_expired(target: TargetView, target_count: int, now_s: float) -> bool:
     """Return whether a target's last report is too old to send it new work.
 
-    While this process runs, its owner or else this node polls the target sooner than that.
-    A process that was paused may have missed, before the pause, that the owner had stopped
-    too.
+    While this process runs, the target's owner, or else this node, polls the target sooner
+    than that. A process that was paused may have missed, before the pause, that the owner
+    had stopped too.
     """
     return now_s - target.heard_at_s > silent_after_s(target_count) + REPORT_EXPIRY_MARGIN_S
 
@@ -127,8 +127,7 @@
         due = decide_polls(self._poll_view(now_s), now_s)
         await asyncio.gather(*(self._poll(address) for address in due))
         self._write_section([a for a in {*due, *self.gossip.changed} if a in self._service_targets])
-        # The start of the round is recorded, since the process may have been paused during
-        # it.
+        # The start of the round, since the process may have been paused during it.
         self._board.targets_kept_at_s = now_s
 
     def mark_all_unreachable(self) -> None:
@@ -199,8 +198,7 @@
             return
         known = self.gossip.polled_targets.get(row.address)
         if known is not None and known.view.reachable and not row.reachable:
-            # The other node's network path may be at fault, so verify with a poll from this
-            # node.
+            # The other node's network path may be at fault, so verify with a poll.
             self._suspected.setdefault(row.address, 0.0)
             return
         if row.address in self._suspected and row.reachable:
--- a/samphirecleat/controllers/weights/_coordinator.py
+++ b/samphirecleat/controllers/weights/_coordinator.py
@@ -91,8 +91,7 @@
             await asyncio.sleep(PERIOD_S if self._board.weights else IDLE_PERIOD_S)
             own_services = {service.name for service in self._own_services()}
             for name in [name for name in self._board.weights if name not in own_services]:
-                # Another node coordinates this service, so this node's copy would become
-                # outdated.
+                # Another node coordinates the service now; this copy would become outdated.
                 del self._board.weights[name]
             now_s = asyncio.get_running_loop().time()
             due = [name for name in own_services if now_s >= self._next_read_at_s.get(name, 0.0)]
--- a/samphirecleat/controllers/weights/_lease_fold.py
+++ b/samphirecleat/controllers/weights/_lease_fold.py
@@ -5,12 +5,13 @@
 of the lease follows the base, so of two claims with the same base the first in offset order
 wins on every node. A renewal is valid while its epoch is the current one.
 
-The control stream is trimmed like any other stream, and claims are not restated. A reader
-that missed records holds a lease as unsettled: any record that it reads might be valid, and
-``last_offset`` is the latest such record. A claim whose base is that offset or a later one
-is valid regardless of what was missed, and settles the lease. A reader that missed records
-therefore recovers without other nodes: it waits until the lease has gone unrenewed for long
-enough, and claims it with the last record that it read as base.
+The control stream is trimmed like any other stream, and claims are not re-appended to
+outlive the trimming. A reader that missed records holds a lease as unsettled: any record
+that it reads might be valid, and ``last_offset`` is the latest such record. A claim whose
+base is that offset or a later one is valid regardless of what was missed, and settles the
+lease. A reader that missed records therefore recovers without other nodes: it waits until
+the lease has gone unrenewed for long enough, and claims it with the last record that it
+read as base.
 """
 
 from collections.abc import Mapping, Sequence
--- a/samphirecleat/controllers/weights/_leases.py
+++ b/samphirecleat/controllers/weights/_leases.py
@@ -78,8 +78,8 @@
 
     A lease that this node does not certainly hold is claimed only after it has gone
     unrenewed for its duration plus that of the longest order, counted from when this node
-    read its last record. A log outage in that time does not matter: a renewal that this
-    node could not read makes its claim invalid.
+    read its last record. A log outage in that time does not matter: if this node missed a
+    renewal, the base of its claim is outdated and the claim is invalid.
     """
     lease_s = durations.lease_s
     if now_s - timestamps.attempted_at_s < lease_s * RETRY_APPEND_FRACTION:
@@ -117,8 +117,8 @@
     node sent the record, None for a record of another node.
     """
     timestamps = timestamps._replace(observed_at_s=now_s)
-    counts = lease.holder == claim.holder and lease.epoch in (offset, claim.epoch)
-    if not counts or sent_at_s is None:
+    is_valid = lease.holder == claim.holder and lease.epoch in (offset, claim.epoch)
+    if not is_valid or sent_at_s is None:
         return timestamps
     # The time before the append is used, since the lease may have begun as early as that.
     return timestamps._replace(sent_at_s=max(timestamps.sent_at_s, sent_at_s))
@@ -170,8 +170,8 @@
     ) -> None:
         """Manage leases that last ``lease_s``.
 
-        ``grace_s`` is the additional wait, after another holder's lease expires, before
-        this node claims it.
+        After a lease expires, this node waits ``grace_s`` more for orders in flight before
+        it claims the lease.
         """
         self._board = board
         self._log = log
@@ -232,8 +232,8 @@
         own_id = self._board.identity.node_id
         services = self._board.config.services.services.values()
         engines = [service.name for service in services if service.kind is ServiceKind.ENGINE]
-        holds_one = any(lease.holder == self.holder for lease in self._table.leases.values())
-        return holds_one or is_candidate(own_id, self._board.live_members(), engines)
+        holds_lease = any(lease.holder == self.holder for lease in self._table.leases.values())
+        return holds_lease or is_candidate(own_id, self._board.live_members(), engines)
 
     async def _read_once(self) -> None:
         from_offset = self._table.next_offset
@@ -242,9 +242,8 @@
         )
         now_s = asyncio.get_running_loop().time()
         if batch.next_offset < from_offset:
-            # The stream was recreated. Claims at its lower offsets would yield lower
-            # fencing numbers, which targets refuse, and no claim with a later base would be
-            # valid.
+            # The stream was recreated. Claims at its lower offsets would have lower fencing
+            # numbers, which targets refuse, and a claim with a later base would be invalid.
             self._observer.log("lease").error(
                 "control stream ends at offset %d, before the next offset to read, %d",
                 batch.next_offset,
@@ -284,7 +283,9 @@
         appended = await self._log.append(CONTROL_STREAM, claim_payload(claim))
         if appended.outcome is not AppendOutcome.APPENDED:
             self._observer.log("lease").warning(
-                "could not append the claim of lease %s: %s", claim.lease, appended.detail
+                "append to claim or renew lease %s was not confirmed: %s",
+                claim.lease,
+                appended.detail,
             )
 
     def _discard_expired(self, now_s: float) -> None:
--- a/tests/controllers/weights/test_leases.py
+++ b/tests/controllers/weights/test_leases.py
@@ -104,7 +104,9 @@
     st.builds(AdvanceTime, st.sampled_from([0.5, 1.0, 2.5])),
     st.builds(AdvanceTime, st.sampled_from([0.5, 1.0, 2.5, 4.5, 8.0])),
     st.builds(Read, _node),
-    st.builds(ClaimOrRenew, _node, st.sampled_from(["whole", "whole", "lost", "late", "twice"])),
+    st.builds(
+        ClaimOrRenew, _node, st.sampled_from(["normal", "normal", "lost", "delayed", "duplicated"])
+    ),
     st.builds(FullCycle, _node),
     st.builds(FullCycle, _node),
     st.builds(DeliverDelayed, _any),
@@ -199,7 +201,7 @@
                 self._claim_or_renew(self.processes[node], delivery)
             case FullCycle(node=node):
                 self._read(self.processes[node])
-                self._claim_or_renew(self.processes[node], "whole")
+                self._claim_or_renew(self.processes[node], "normal")
                 self._read(self.processes[node])
                 self._order(self.processes[node])
             case DeliverDelayed(message=message) if self.delayed:
@@ -221,11 +223,11 @@
         claim = holder.claim_or_renew(self.now_s)
         if claim is None or delivery == "lost":
             return
-        if delivery == "late":
+        if delivery == "delayed":
             self.delayed.append(claim)
             return
         self._append(claim)
-        if delivery == "twice":
+        if delivery == "duplicated":
             self._append(claim)
 
     def _append(self, claim: LeaseClaim) -> None:
