--- a/samphirecleat/controllers/targets/_target_gossip.py
+++ b/samphirecleat/controllers/targets/_target_news.py
@@ -83,12 +83,12 @@
             )
         return is_change
 
-    def attach(self, message: Message, now_s: float) -> Message:
+    def add_updates(self, message: Message, now_s: float) -> Message:
         """Return the message with target rows and loads added."""
         return message._replace(targets=self._rows(now_s), loads=self._loads(now_s))
 
-    def merge_loads(self, loads: Sequence[TargetLoad], now_s: float) -> None:
-        """Merge loads; ignore a load whose key does not match the target's known state."""
+    def apply_loads(self, loads: Sequence[TargetLoad], now_s: float) -> None:
+        """Apply loads; ignore a load whose key does not match the target's known state."""
         for load in loads:
             address = self._by_key.get(load.key)
             known = self.polled_targets.get(address) if address is not None else None
--- a/samphirecleat/controllers/targets/_target_watch.py
+++ b/samphirecleat/controllers/targets/_target_watch.py
@@ -8,7 +8,7 @@
 from ...blackboard import Blackboard, TargetView
 from ...peers import Message, RendezvousOwners, TargetRow
 from ...targets import TargetClient
-from ._target_gossip import TargetGossip, view_from_row
+from ._target_news import TargetGossip, view_from_row
 
 SILENT_AFTER_S: Final = 1.5
 SILENT_PER_TARGET_S: Final = 1.0 / 30.0
@@ -181,13 +181,13 @@
 
     def load(self, message: Message, now_s: float) -> Message:
         """Return the message to other nodes with target rows and loads added."""
-        return self.gossip.attach(message, now_s)
+        return self.gossip.add_updates(message, now_s)
 
     def unload(self, message: Message, now_s: float) -> None:
         """Merge the target rows and loads of a message from another node."""
         for row in message.targets:
             self._merge_row(row, now_s)
-        self.gossip.merge_loads(message.loads, now_s)
+        self.gossip.apply_loads(message.loads, now_s)
         self._write_section(
             [address for address in self.gossip.changed if address in self._service_targets]
         )
--- a/tests/controllers/targets/test_target_watch.py
+++ b/tests/controllers/targets/test_target_watch.py
@@ -8,7 +8,7 @@
 from samphirecleat.blackboard import Blackboard, Identity, MemberView, TargetView
 from samphirecleat.config import read_service_text
 from samphirecleat.controllers.membership._discovery import ListedNews, reading_period_s
-from samphirecleat.controllers.targets._target_gossip import TargetGossip, make_row, view_from_row
+from samphirecleat.controllers.targets._target_news import TargetGossip, make_row, view_from_row
 from samphirecleat.controllers.targets._target_watch import (
     MAX_SILENT_POLLS,
     PollView,
@@ -94,8 +94,8 @@
     """Guards against routing by a report's age that omits its time in transit."""
     sender, receiver = gossip_with(VIEW, 100.0), gossip_with(VIEW, 99.0)
     sender.note(VIEW._replace(running=5, reported_at_s=100.7), 101.0, 101.0)
-    message = sender.attach(ping_message(), 101.5)
-    receiver.merge_loads(message.loads, 201.5)
+    message = sender.add_updates(ping_message(), 101.5)
+    receiver.apply_loads(message.loads, 201.5)
     polled_target = receiver.polled_targets[ADDRESS]
     assert polled_target.view.running == 5
     assert polled_target.polled_at_s == pytest.approx(201.0, abs=0.01)
@@ -107,7 +107,7 @@
     sender, receiver = gossip_with(VIEW, 100.0), gossip_with(VIEW, 100.0)
     receiver.note(VIEW._replace(instance="boot-2", running=1), 100.5, 100.5)
     sender.note(VIEW._replace(running=5), 101.0, 101.0)
-    receiver.merge_loads(sender.attach(ping_message(), 101.0).loads, 101.0)
+    receiver.apply_loads(sender.add_updates(ping_message(), 101.0).loads, 101.0)
     assert receiver.polled_targets[ADDRESS].view.running == 1
 
 
@@ -120,8 +120,8 @@
     """
     sender, receiver = gossip_with(VIEW, 100.0), gossip_with(VIEW, 100.0)
     sender.note(VIEW._replace(**changes), 101.0, 101.0)
-    message = sender.attach(ping_message(), 101.0)
-    receiver.merge_loads(message.loads, 101.0)
+    message = sender.add_updates(ping_message(), 101.0)
+    receiver.apply_loads(message.loads, 101.0)
     assert receiver.polled_targets[ADDRESS].polled_at_s == 100.0
     row = make_row(sender.polled_targets[ADDRESS], 101.0)
     assert receiver.note(view_from_row(row, VIEW, 101.0), 101.0 - row.poll_age_ms / 1000.0, 101.0)
@@ -133,7 +133,7 @@
     gossip = TargetGossip()
     for index in range(600):
         gossip.note(VIEW._replace(address=f"10.0.0.{index}:1"), 100.0, 100.0)
-    message = gossip.attach(ping_message(), 100.0)
+    message = gossip.add_updates(ping_message(), 100.0)
     assert len(message.loads) + len(message.targets) <= 25
 
 
@@ -268,7 +268,7 @@
         sender = gossip_with(polled_target.view._replace(running=3), polled_target.polled_at_s)
         sent_at_s = polled_target.polled_at_s + 1.0
         sender.note(polled_target.view._replace(running=4), sent_at_s, sent_at_s)
-        watch.unload(sender.attach(ping_message(), sent_at_s)._replace(targets=[]), sent_at_s)
+        watch.unload(sender.add_updates(ping_message(), sent_at_s)._replace(targets=[]), sent_at_s)
         assert board.targets[ADDRESS].running == 4
         assert not board.targets[ADDRESS].usable
         await watch.poll_once()
