--- a/samphirecleat/durable/__init__.py
+++ b/samphirecleat/durable/__init__.py
@@ -21,25 +21,25 @@
     shortages,
 )
 from ._ports import (
-    READ_BYTES,
+    MAX_READ_BYTES,
     UNCONDITIONAL,
     AppendOutcome,
     AppendResult,
     GenerationCall,
     GenerationChannel,
-    GenerationEnd,
     GenerationError,
+    GenerationEvent,
+    GenerationFailure,
     HistoryGoneError,
     KeyedLog,
     LogEntry,
     LogSlice,
     LogUnavailableError,
     PeerTexts,
-    Piece,
     PlainLog,
 )
 from ._post import NO_SUPPLY, DutyParts, ServerSupply, ServiceDuties
-from ._reading_pace import keeps_items_apart, reading_pause_s
+from ._reading_pace import reading_pause_s, stores_items_separately
 from ._records import (
     FinishedItem,
     ItemListed,
@@ -61,8 +61,8 @@
 from ._weight_orders import Load, ModelDemand, OrderableEngine, decide_loads
 
 __all__ = [
+    "MAX_READ_BYTES",
     "NO_SUPPLY",
-    "READ_BYTES",
     "UNCONDITIONAL",
     "AppendOutcome",
     "AppendResult",
@@ -78,8 +78,9 @@
     "FinishedItem",
     "GenerationCall",
     "GenerationChannel",
-    "GenerationEnd",
     "GenerationError",
+    "GenerationEvent",
+    "GenerationFailure",
     "HistoryGoneError",
     "Holder",
     "ItemListed",
@@ -98,7 +99,6 @@
     "OrderableEngine",
     "PeerTexts",
     "PendingItem",
-    "Piece",
     "Placement",
     "PlainLog",
     "ProgressJournal",
@@ -114,10 +114,10 @@
     "StepAccepted",
     "StepAccess",
     "StepEnded",
-    "StepRequest",
     "StepFold",
     "StepLog",
     "StepPage",
+    "StepRequest",
     "StepState",
     "TextRef",
     "TextShelf",
@@ -126,7 +126,6 @@
     "ZoneSupply",
     "decide_loads",
     "engines_for",
-    "keeps_items_apart",
     "model_demand",
     "order_items",
     "place_items",
@@ -135,4 +134,5 @@
     "reading_pause_s",
     "servers_for",
     "shortages",
+    "stores_items_separately",
 ]
--- a/samphirecleat/durable/_access.py
+++ b/samphirecleat/durable/_access.py
@@ -106,7 +106,7 @@
                 left_s = until_s - loop.time()
                 if left_s <= 0.0 or not step.unlisted:
                     break
-                await self._step_log.wait_change(left_s)
+                await self._step_log.wait_for_change(left_s)
         if len(step.results) < after:
             # The reader saw more elsewhere than this node knows.
             raise _unsure("this node is behind")
@@ -166,7 +166,7 @@
         while asyncio.get_running_loop().time() < until_s:
             if step_id in self._step_log.fold.steps:
                 return True
-            await self._step_log.wait_change(0.1)
+            await self._step_log.wait_for_change(0.1)
         return step_id in self._step_log.fold.steps
 
     async def _is_ended(self, step_id: str) -> bool:
@@ -175,7 +175,7 @@
         while asyncio.get_running_loop().time() < until_s:
             if step is not None and step.ended:
                 return True
-            await self._step_log.wait_change(0.1)
+            await self._step_log.wait_for_change(0.1)
         return step is not None and step.ended
 
 
--- a/samphirecleat/durable/_duty.py
+++ b/samphirecleat/durable/_duty.py
@@ -17,7 +17,7 @@
 from ._election import Candidate, ElectionView, should_claim, successor
 from ._fold import Claim
 from ._ports import AppendOutcome
-from ._records import incarnation_mark
+from ._records import incarnation_prefix
 from ._step_log import StepLog
 
 LOOK_EVERY_S: Final = 0.1
@@ -195,9 +195,11 @@
         identity = self._board.identity
         members = list(self._board.members.values())
         alive = {m.incarnation for m in self._board.live_members() if not m.leaving}
-        heard_s = self._step_log.last_write_by
+        heard_s = self._step_log.last_write_at_s
         claim_age_s = now_s - self._step_log.claimed_at_s.get(subject, -1e9)
-        silent_s = now_s - heard_s.get(incarnation_mark(claim.incarnation), -1e9) if claim else 1e9
+        silent_s = (
+            now_s - heard_s.get(incarnation_prefix(claim.incarnation), -1e9) if claim else 1e9
+        )
         view = ElectionView(
             identity.incarnation,
             self._candidates(),
--- a/samphirecleat/durable/_fold.py
+++ b/samphirecleat/durable/_fold.py
@@ -62,7 +62,7 @@
         """Whether the step still wants results."""
         return not self.ended and bool(self.unlisted)
 
-    def take_items(self, items: Mapping[str, ItemSpec]) -> None:
+    def set_items(self, items: Mapping[str, ItemSpec]) -> None:
         """Keep what the items are made from."""
         self.items = items
         self.group_count = len({item.group for item in items.values()})
@@ -115,7 +115,7 @@
             carried |= item_ids & step.item_ids
         unlisted = dict.fromkeys(record.item_ids)
         step = StepState(record, offset, now_s, item_ids, carried, unlisted)
-        step.take_items({item.item_id: item for item in record.items})
+        step.set_items({item.item_id: item for item in record.items})
         self.steps[record.step_id] = step
         return True
 
--- a/samphirecleat/durable/_item_decisions.py
+++ b/samphirecleat/durable/_item_decisions.py
@@ -11,7 +11,7 @@
 from typing import Final, NamedTuple
 
 from ._planner import EngineView
-from ._ports import GenerationEnd
+from ._ports import GenerationFailure
 
 ItemName = tuple[str, str]
 """The ids of a step and of one of its items."""
@@ -151,16 +151,16 @@
     engine_rest_s: float = 0.0
 
 
-def after_failed_run(reason: GenerationEnd, failures: int, max_attempts: int) -> Aftermath:
+def after_failed_run(reason: GenerationFailure, failures: int, max_attempts: int) -> Aftermath:
     """Return what follows; the engines ``failures`` times answered that they failed the item."""
     match reason:
-        case GenerationEnd.IMPOSSIBLE:
+        case GenerationFailure.IMPOSSIBLE:
             return Aftermath(item_dead=True)
-        case GenerationEnd.FAILED:
+        case GenerationFailure.FAILED:
             return Aftermath(item_dead=failures >= max_attempts)
-        case GenerationEnd.REFUSED:
+        case GenerationFailure.REFUSED:
             return Aftermath(engine_rest_s=REFUSAL_REST_S)
-        case GenerationEnd.BROKEN | GenerationEnd.WRONG_INSTANCE:
+        case GenerationFailure.BROKEN | GenerationFailure.WRONG_INSTANCE:
             return Aftermath(engine_rest_s=ENGINE_REST_S)
-        case GenerationEnd.SILENT:
+        case GenerationFailure.SILENT:
             return Aftermath(item_rest_s=0.0, engine_rest_s=ENGINE_REST_S)
--- a/samphirecleat/durable/_item_loader.py
+++ b/samphirecleat/durable/_item_loader.py
@@ -37,7 +37,7 @@
         try:
             while step.open:
                 try:
-                    step.take_items(await self._work.step_log.read_items(step.spec))
+                    step.set_items(await self._work.step_log.read_items(step.spec))
                 except LogUnavailableError as error:
                     self._words.warning("step=%s items not read: %s", step.spec.step_id, error)
                     await asyncio.sleep(RETRY_S)
--- a/samphirecleat/durable/_item_run.py
+++ b/samphirecleat/durable/_item_run.py
@@ -12,7 +12,13 @@
 from ._item_decisions import ItemName
 from ._open_item import OpenItem
 from ._paces import Pace
-from ._ports import GenerationCall, GenerationChannel, GenerationEnd, GenerationError, Piece
+from ._ports import (
+    GenerationCall,
+    GenerationChannel,
+    GenerationError,
+    GenerationEvent,
+    GenerationFailure,
+)
 
 # A run is given up after so long without an event. Engines make one in about 40 ms; one
 # that takes new weights pauses for a second.
@@ -66,9 +72,9 @@
             last_s = now_s
             wait_s = STALL_S
             if run.move:
-                raise GenerationError("a faster engine is free", GenerationEnd.REFUSED)
+                raise GenerationError("a faster engine is free", GenerationFailure.REFUSED)
         if not run.draft.pieces:
-            raise GenerationError("ended without an event", GenerationEnd.BROKEN)
+            raise GenerationError("ended without an event", GenerationFailure.BROKEN)
         run.draft.whole = True
     finally:
         # The connection must be closed before the item goes on elsewhere.
@@ -76,7 +82,9 @@
             await stream.aclose()
 
 
-async def _next_piece(stream: AsyncGenerator[Piece, None], wait_s: float) -> Piece | None:
+async def _next_piece(
+    stream: AsyncGenerator[GenerationEvent, None], wait_s: float
+) -> GenerationEvent | None:
     """Return the next event, None at the end of the stream.
 
     :raises GenerationError: when none comes in time.
@@ -86,7 +94,7 @@
             return await anext(stream, None)
     except TimeoutError as error:
         detail = f"no event for {wait_s} s; moved"
-        raise GenerationError(detail, GenerationEnd.SILENT) from error
+        raise GenerationError(detail, GenerationFailure.SILENT) from error
 
 
 def _call_of(run: ItemRun, now_s: float) -> GenerationCall:
@@ -105,7 +113,7 @@
     )
 
 
-def _take_piece(run: ItemRun, piece: Piece) -> None:
+def _take_piece(run: ItemRun, piece: GenerationEvent) -> None:
     """Add an event to the draft.
 
     :raises GenerationError: when it does not belong there: made by weights that the step
@@ -113,10 +121,10 @@
     """
     spec, draft = run.open_item.step.spec, run.draft
     if piece.version < spec.min_version:
-        raise GenerationError(f"made by version {piece.version}", GenerationEnd.BROKEN)
+        raise GenerationError(f"made by version {piece.version}", GenerationFailure.BROKEN)
     if not draft.add(piece.event_id, piece.data, piece.version):
         detail = f"event {piece.event_id} after {draft.last_event_id}"
-        raise GenerationError(detail, GenerationEnd.BROKEN)
+        raise GenerationError(detail, GenerationFailure.BROKEN)
     if not draft.fits(spec.min_version, single_version=run.open_item.route.single_version):
         draft.clear()
-        raise GenerationError("a second version", GenerationEnd.BROKEN)
+        raise GenerationError("a second version", GenerationFailure.BROKEN)
--- a/samphirecleat/durable/_journal.py
+++ b/samphirecleat/durable/_journal.py
@@ -14,7 +14,7 @@
 from ..observe import Observer
 from ._drafts import Draft, DraftPart, DraftShelf
 from ._ports import AppendOutcome, LogUnavailableError, PlainLog
-from ._records import RecordFormatError, pack, unpack
+from ._records import RecordFormatError, compress, decompress
 
 PROGRESS_TOPIC: Final = "progress"
 # A lost runner costs at most this much of each text, about a dozen events.
@@ -84,7 +84,7 @@
         parts: list[DraftPart] = []
         for record in records:
             try:
-                parts.extend(_DECODER.decode(unpack(record)))
+                parts.extend(_DECODER.decode(decompress(record)))
             except (msgspec.MsgspecError, RecordFormatError) as error:
                 self._words.error("a record is not understood: %s", error)
         # All at once: a run's parts lie in many records, and only the whole run tells
@@ -101,9 +101,9 @@
     for part in parts:
         part_bytes = sum(len(piece) for piece in part.pieces)
         if batch and size_bytes + part_bytes > RECORD_BYTES:
-            records.append(pack(msgspec.msgpack.encode(batch)))
+            records.append(compress(msgspec.msgpack.encode(batch)))
             batch, size_bytes = [], 0
         batch.append(part)
         size_bytes += part_bytes
-    records.append(pack(msgspec.msgpack.encode(batch)))
+    records.append(compress(msgspec.msgpack.encode(batch)))
     return records
--- a/samphirecleat/durable/_orderer.py
+++ b/samphirecleat/durable/_orderer.py
@@ -78,7 +78,7 @@
         """Return what the steps of a model ask of the engines."""
         ...
 
-    def busy_by_engine(self, model: str) -> Mapping[str, int]:
+    def runs_by_engine(self, model: str) -> Mapping[str, int]:
         """Return how many runs of a model each engine has."""
         ...
 
@@ -94,11 +94,11 @@
         """Whether an engine is too slow to count on it for the next step."""
         ...
 
-    def load_began(self, instance: str, model: str) -> None:
+    def load_started(self, instance: str, model: str) -> None:
         """Place no item of a model at an engine until its load is over."""
         ...
 
-    def load_over(self, instance: str, model: str) -> None:
+    def load_finished(self, instance: str, model: str) -> None:
         """Place items of a model at an engine again."""
         ...
 
@@ -165,12 +165,12 @@
         serving = {target.instance: target for target in self._targets.serving(self._service)}
         for name in [name for name in self._known if name[0] not in serving]:
             del self._known[name]
-            self._work.load_over(*name)
+            self._work.load_finished(*name)
         models = [model for model in spec.engine.models if self._named(model) > 1]
         for target in serving.values():
             for model in models:
                 self._refresh(target, model, now_s)
-        runs = {model: self._work.busy_by_engine(model) for model in models}
+        runs = {model: self._work.runs_by_engine(model) for model in models}
         views = [self._view(target.instance, models, runs, now_s) for target in serving.values()]
         demands = [self._work.demand(model, self._named(model)) for model in models]
         by_model = {demand.model: demand for demand in demands}
@@ -179,7 +179,7 @@
             demand = by_model[load.model]
             known.loading_version = demand.named_version
             known.look_at_s = now_s + ORDER_TIMEOUT_S + FIRST_LOOK_S
-            self._work.load_began(*known.name)
+            self._work.load_started(*known.name)
             self._spawn(self._give(serving[load.instance], demand, known))
 
     def _view(
@@ -208,7 +208,7 @@
             known = self._known[name] = _Known(target.started_at_ms, name)
             # An engine that starts again counts its orders anew.
             self._orders_accepted.pop(target.instance, None)
-            self._work.load_over(*name)
+            self._work.load_finished(*name)
         known.version = max(known.version, self._work.version_of(target, model))
         if known.loading_version and known.version >= known.loading_version:
             self._load_over(known)
@@ -227,7 +227,7 @@
 
     def _load_over(self, known: _Known) -> None:
         known.loading_version = 0
-        self._work.load_over(*known.name)
+        self._work.load_finished(*known.name)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.ensure_future(work)
--- a/samphirecleat/durable/_ports.py
+++ b/samphirecleat/durable/_ports.py
@@ -8,7 +8,7 @@
 
 UNCONDITIONAL: Final = -1
 # One answer of the log; it sends a megabyte at most.
-READ_BYTES: Final = 1 << 20
+MAX_READ_BYTES: Final = 1 << 20
 
 
 class LogEntry(NamedTuple):
@@ -65,7 +65,7 @@
         ...
 
     async def read(
-        self, topic: str, from_offset: int, wait_s: float, *, most_bytes: int = READ_BYTES
+        self, topic: str, from_offset: int, wait_s: float, *, max_bytes: int = MAX_READ_BYTES
     ) -> LogSlice:
         """Return entries from an offset on, at least one if there is any.
 
@@ -116,7 +116,7 @@
         ...
 
 
-class Piece(NamedTuple):
+class GenerationEvent(NamedTuple):
     """One event of a generation: its id, its data, and the weights that made it."""
 
     event_id: int
@@ -144,7 +144,7 @@
 class GenerationError(Exception):
     """A run that ended without its end."""
 
-    def __init__(self, detail: str, reason: "GenerationEnd", *, cut: bool = False) -> None:
+    def __init__(self, detail: str, reason: "GenerationFailure", *, cut: bool = False) -> None:
         """Say what was seen of the engine; ``cut`` if it closed the connection."""
         super().__init__(detail)
         self.cut = cut
@@ -152,7 +152,7 @@
         self.reason = reason
 
 
-class GenerationEnd(Enum):
+class GenerationFailure(Enum):
     """Why a run ended early."""
 
     REFUSED = "refused"
@@ -166,7 +166,9 @@
 class GenerationChannel(Protocol):
     """Streams the tokens of one item from one engine."""
 
-    def generate(self, call: GenerationCall, target: Target) -> AsyncGenerator[Piece, None]:
+    def generate(
+        self, call: GenerationCall, target: Target
+    ) -> AsyncGenerator[GenerationEvent, None]:
         """Yield pieces until the engine said that the text is whole.
 
         :raises GenerationError: when the run ends before that.
--- a/samphirecleat/durable/_reading_pace.py
+++ b/samphirecleat/durable/_reading_pace.py
@@ -17,7 +17,7 @@
 LONGEST_PAUSE_S: Final = 0.35
 
 
-def keeps_items_apart(node_count: int) -> bool:
+def stores_items_separately(node_count: int) -> bool:
     """Return whether the items of steps are kept apart from the steps.
 
     In a small fleet they cost little to read, and a call less to the log decides more: while the
--- a/samphirecleat/durable/_records.py
+++ b/samphirecleat/durable/_records.py
@@ -43,17 +43,17 @@
     headers: Sequence[tuple[str, str]]
     body: bytes
     prompt_tokens: int
-    most_tokens: int
-    hinted_tokens: int
+    max_tokens: int
+    estimated_tokens: int
     group: str
     reward: RewardSpec | None = None
 
     @property
     def expected_tokens(self) -> int:
         """The trainer's estimate of what will be made, bounded by the most that may be."""
-        if self.hinted_tokens <= 0:
-            return self.most_tokens
-        return min(self.most_tokens, self.hinted_tokens)
+        if self.estimated_tokens <= 0:
+            return self.max_tokens
+        return min(self.max_tokens, self.estimated_tokens)
 
 
 class StepRequest(NamedTuple):
@@ -204,15 +204,15 @@
 
 def encode_record(record: Record) -> bytes:
     """Return the bytes of a record."""
-    return bytes([_TAG_OF[type(record)]]) + pack(msgspec.msgpack.encode(record))
+    return bytes([_TAG_OF[type(record)]]) + compress(msgspec.msgpack.encode(record))
 
 
-def pack(content: bytes) -> bytes:
+def compress(content: bytes) -> bytes:
     """Return content in the compressed form in which it is written to the log."""
     return zlib.compress(content, _ZLIB_LEVEL)
 
 
-def unpack(blob: bytes) -> bytes:
+def decompress(blob: bytes) -> bytes:
     """Return the content of a compressed form.
 
     :raises RecordFormatError: when it is none.
@@ -232,7 +232,7 @@
     if decoder is None:
         raise RecordFormatError(f"tag {blob[:1]!r}")
     try:
-        record: Record = decoder.decode(unpack(blob[1:]))
+        record: Record = decoder.decode(decompress(blob[1:]))
     except msgspec.MsgspecError as error:
         raise RecordFormatError(str(error)) from error
     return record
@@ -296,9 +296,9 @@
 def writer_of(key: str) -> str:
     """Return the beginning of the incarnation that wrote an entry, "" for a key of another form."""
     parts = key.split("/")
-    return incarnation_mark(parts[1]) if len(parts) > 1 else ""
+    return incarnation_prefix(parts[1]) if len(parts) > 1 else ""
 
 
-def incarnation_mark(writer: str) -> str:
+def incarnation_prefix(writer: str) -> str:
     """Return what the ids of an incarnation and of its writers have in common: their beginning."""
     return writer[:INCARNATION_CHARS]
--- a/samphirecleat/durable/_run_pool.py
+++ b/samphirecleat/durable/_run_pool.py
@@ -12,7 +12,7 @@
 from ._item_run import ItemRun, stream_item
 from ._open_item import OpenItem
 from ._planner import Placement
-from ._ports import GenerationChannel, GenerationEnd, GenerationError
+from ._ports import GenerationChannel, GenerationError, GenerationFailure
 from ._service_work import ServiceWork
 
 
@@ -127,7 +127,7 @@
             run.draft.last_event_id,
             error.detail,
         )
-        failures = self._failures.get(run.name, 0) + (error.reason is GenerationEnd.FAILED)
+        failures = self._failures.get(run.name, 0) + (error.reason is GenerationFailure.FAILED)
         self._failures[run.name] = failures
         aftermath = after_failed_run(error.reason, failures, run.open_item.route.max_attempts)
         self._rests_until_s[run.name] = now_s + aftermath.item_rest_s
--- a/samphirecleat/durable/_runner.py
+++ b/samphirecleat/durable/_runner.py
@@ -189,8 +189,8 @@
         tokens_per_event = self._work.view.tokens_per_event
         rest_events = expected_rest_events(
             run.draft.last_event_id,
-            item.hinted_tokens // tokens_per_event,
-            item.most_tokens // tokens_per_event,
+            item.estimated_tokens // tokens_per_event,
+            item.max_tokens // tokens_per_event,
         )
         instance = run.target.instance
         return RunView(
@@ -209,7 +209,7 @@
         """Wait until a run ended, a version came or the step log changed, a moment at most."""
         waits = [
             asyncio.ensure_future(self._work.changed.wait()),
-            asyncio.ensure_future(self._work.step_log.wait_change(PLAN_EVERY_S)),
+            asyncio.ensure_future(self._work.step_log.wait_for_change(PLAN_EVERY_S)),
         ]
         try:
             await asyncio.wait(waits, timeout=PLAN_EVERY_S, return_when=asyncio.FIRST_COMPLETED)
--- a/samphirecleat/durable/_service_work.py
+++ b/samphirecleat/durable/_service_work.py
@@ -101,7 +101,7 @@
         """Return how long an engine of the typical pace takes for a token."""
         return self.paces.typical_event_s() / self.view.tokens_per_event
 
-    def busy_by_engine(self, model: str) -> Mapping[str, int]:
+    def runs_by_engine(self, model: str) -> Mapping[str, int]:
         """Return how many runs of a model each engine has."""
         return Counter(
             run.target.instance
@@ -139,10 +139,10 @@
         """Whether an engine is too slow to count on it for the next step."""
         return self.paces.slowness(instance) >= MOVE_TO_SLOWNESS
 
-    def load_began(self, instance: str, model: str) -> None:
+    def load_started(self, instance: str, model: str) -> None:
         """Place no item of a model at an engine until its load is over."""
         self._loading.add((instance, model))
 
-    def load_over(self, instance: str, model: str) -> None:
+    def load_finished(self, instance: str, model: str) -> None:
         """Place items of a model at an engine again."""
         self._loading.discard((instance, model))
--- a/samphirecleat/durable/_step_log.py
+++ b/samphirecleat/durable/_step_log.py
@@ -88,7 +88,7 @@
         self._items = ItemShelf(self.texts)
         self._lister = ResultLister(self.fold, self.texts, self._write_results, observer)
         self.forgotten: deque[str] = deque(maxlen=FORGOTTEN_KEPT)
-        self.last_write_by: dict[str, float] = {}
+        self.last_write_at_s: dict[str, float] = {}
         self.claimed_at_s: dict[str, float] = {}
 
     @property
@@ -128,7 +128,7 @@
     def _pause_s(self) -> float:
         return 0.0 if self._readers else self._paced_s()
 
-    async def wait_change(self, timeout_s: float) -> None:
+    async def wait_for_change(self, timeout_s: float) -> None:
         """Wait until the fold changes, at most ``timeout_s``."""
         changed = self._changed
         try:
@@ -227,7 +227,7 @@
         for entry in entries:
             if not entry.value:
                 continue
-            self.last_write_by[writer_of(entry.key)] = now_s
+            self.last_write_at_s[writer_of(entry.key)] = now_s
             try:
                 record = self._assembler.add(entry.key, entry.value)
             except RecordFormatError as error:
--- a/samphirecleat/durable/_texts.py
+++ b/samphirecleat/durable/_texts.py
@@ -17,11 +17,11 @@
 from ._records import (
     FinishedItem,
     TextRef,
+    compress,
+    decompress,
     join_blob,
     key_prefix,
-    pack,
     split_blob,
-    unpack,
     writer_of,
 )
 
@@ -89,7 +89,7 @@
         entries: list[tuple[str, bytes]] = []
         refs: dict[str, TextRef] = {}
         for name, content in contents.items():
-            packed = pack(content)
+            packed = compress(content)
             key = self._new_key(step_id)
             rows = split_blob(packed, key)
             refs[name] = TextRef(shard, len(entries), len(rows), key, len(packed), len(content))
@@ -132,7 +132,7 @@
             raise LogUnavailableError(f"texts {lost[:3]} are not in the log")
         for key, packed in found.items():
             self._keep(key, packed)
-        return {key: unpack(packed) for key, packed in found.items()}
+        return {key: decompress(packed) for key, packed in found.items()}
 
     def cached(self, keys: Sequence[str]) -> Mapping[str, bytes]:
         """Return what this node has of some texts in memory, packed as written."""
@@ -192,7 +192,7 @@
                 for ref in run
                 if ref.offset + ref.entries > at
             )
-            chunk = await self._log.read(topic, at, 0.0, most_bytes=wanted_bytes)
+            chunk = await self._log.read(topic, at, 0.0, max_bytes=wanted_bytes)
             if not chunk.entries:
                 raise LogUnavailableError(f"{topic} ends at {chunk.end}, wanted up to {end}")
             values.update({entry.key: entry.value for entry in chunk.entries})
--- a/samphirecleat/platform/_generation_stream.py
+++ b/samphirecleat/platform/_generation_stream.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from ..durable import GenerationCall, GenerationEnd, GenerationError, Piece
+from ..durable import GenerationCall, GenerationError, GenerationEvent, GenerationFailure
 from ..serving import Target
 from ..targets import is_cut
 from ._answers import ANSWER_FAULTS
@@ -35,7 +35,9 @@
         """Use ``sessions`` for connections."""
         self._sessions = sessions
 
-    async def generate(self, call: GenerationCall, target: Target) -> AsyncGenerator[Piece, None]:
+    async def generate(
+        self, call: GenerationCall, target: Target
+    ) -> AsyncGenerator[GenerationEvent, None]:
         """Yield the pieces of a run; see :class:`GenerationChannel`."""
         headers = [
             *item_headers(call),
@@ -63,14 +65,14 @@
                 async for block in event_blocks(response.content):
                     event = read_event(block, version)
                     version = event.version
-                    yield Piece(*event)
+                    yield GenerationEvent(*event)
         except EventFormatError as error:
-            raise GenerationError(str(error), GenerationEnd.BROKEN, cut=True) from error
+            raise GenerationError(str(error), GenerationFailure.BROKEN, cut=True) from error
         except aiohttp.ClientConnectorError as error:
-            raise GenerationError(repr(error), GenerationEnd.BROKEN) from error
+            raise GenerationError(repr(error), GenerationFailure.BROKEN) from error
         except ANSWER_FAULTS as error:
             cut = is_cut(error)
-            raise GenerationError(repr(error), GenerationEnd.BROKEN, cut=cut) from error
+            raise GenerationError(repr(error), GenerationFailure.BROKEN, cut=cut) from error
 
 
 def item_headers(call: GenerationCall) -> Sequence[tuple[str, str]]:
@@ -86,17 +88,17 @@
     :raises GenerationError: when it is not.
     """
     if response.status == MISDIRECTED:
-        raise GenerationError("replaced", GenerationEnd.WRONG_INSTANCE)
+        raise GenerationError("replaced", GenerationFailure.WRONG_INSTANCE)
     if NOT_RUN in response.headers:
         await response.read()
-        raise GenerationError(f"refused with {response.status}", GenerationEnd.REFUSED)
+        raise GenerationError(f"refused with {response.status}", GenerationFailure.REFUSED)
     if response.headers.get(REQUEST_ID) != call.item_id:
         response.close()
-        raise GenerationError("answer to another call", GenerationEnd.BROKEN)
+        raise GenerationError("answer to another call", GenerationFailure.BROKEN)
     if response.status == IMPOSSIBLE:
-        raise GenerationError("can never be done", GenerationEnd.IMPOSSIBLE)
+        raise GenerationError("can never be done", GenerationFailure.IMPOSSIBLE)
     if response.status == FAILED:
         await response.read()
-        raise GenerationError("failed", GenerationEnd.FAILED)
+        raise GenerationError("failed", GenerationFailure.FAILED)
     if response.status != 200 or response.headers.get("Content-Encoding"):
-        raise GenerationError(f"HTTP {response.status}", GenerationEnd.BROKEN)
+        raise GenerationError(f"HTTP {response.status}", GenerationFailure.BROKEN)
--- a/samphirecleat/platform/_metadata_store.py
+++ b/samphirecleat/platform/_metadata_store.py
@@ -17,7 +17,7 @@
 from yarl import URL
 
 from ..durable import (
-    READ_BYTES,
+    MAX_READ_BYTES,
     UNCONDITIONAL,
     AppendOutcome,
     AppendResult,
@@ -112,10 +112,10 @@
             after = rows[-1].key
 
     async def read(
-        self, topic: str, from_offset: int, wait_s: float, *, most_bytes: int = READ_BYTES
+        self, topic: str, from_offset: int, wait_s: float, *, max_bytes: int = MAX_READ_BYTES
     ) -> LogSlice:
         """Return entries from an offset on; see :class:`KeyedLog`."""
-        records, end = await self._read_records(topic, from_offset, wait_s, most_bytes)
+        records, end = await self._read_records(topic, from_offset, wait_s, max_bytes)
         try:
             entries = [
                 LogEntry(from_offset + at, *split_key(record)) for at, record in enumerate(records)
@@ -188,9 +188,9 @@
         return self._ways.direct_works
 
     async def _read_records(
-        self, topic: str, from_offset: int, wait_s: float, most_bytes: int = READ_BYTES
+        self, topic: str, from_offset: int, wait_s: float, max_bytes: int = MAX_READ_BYTES
     ) -> tuple[Sequence[bytes], int]:
-        most_kb = min(READ_BYTES, most_bytes + 1023) // 1024
+        most_kb = min(MAX_READ_BYTES, max_bytes + 1023) // 1024
         query = f"topic={quote(topic)}&part=0&from={from_offset}&maxKb={most_kb}"
         if wait_s > 0.0:
             query += f"&waitMs={int(wait_s * 1000)}"
--- a/samphirecleat/platform/_platform_node.py
+++ b/samphirecleat/platform/_platform_node.py
@@ -21,8 +21,8 @@
     StepAccess,
     StepLog,
     TopicFollower,
-    keeps_items_apart,
     reading_pause_s,
+    stores_items_separately,
 )
 from ..observe import Observer
 from ..peers import HeartbeatCodec
@@ -239,7 +239,7 @@
             self.observer,
             self._rng,
             self._reading_pause_s,
-            lambda: keeps_items_apart(len(self.board.members)),
+            lambda: stores_items_separately(len(self.board.members)),
             PeerTextClient(
                 self._session,
                 self.board.live_members,
--- a/tests/durable/memory_log.py
+++ b/tests/durable/memory_log.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from samphirecleat.durable import (
-    READ_BYTES,
+    MAX_READ_BYTES,
     UNCONDITIONAL,
     AppendOutcome,
     AppendResult,
@@ -48,7 +48,7 @@
         kept = [newest[key] for key in sorted(newest) if newest[key].value]
         return LogSlice(kept, self.end)
 
-    async def read(self, from_offset: int, wait_s: float, most_bytes: int) -> LogSlice:
+    async def read(self, from_offset: int, wait_s: float, max_bytes: int) -> LogSlice:
         if self.down:
             raise LogUnavailableError("down")
         if from_offset < self.first_kept:
@@ -65,8 +65,8 @@
         self.reads += 1
         sent: list[LogEntry] = []
         for entry in self.entries[from_offset:]:
-            most_bytes -= len(entry.value) + len(entry.key)
-            if sent and most_bytes < 0:
+            max_bytes -= len(entry.value) + len(entry.key)
+            if sent and max_bytes < 0:
                 break
             sent.append(entry)
         return LogSlice(sent, self.end)
@@ -127,9 +127,9 @@
         return await MemoryTopic.newest(self.topic(topic), prefix)
 
     async def read(  # type: ignore[override]
-        self, topic: str, from_offset: int, wait_s: float, *, most_bytes: int = READ_BYTES
+        self, topic: str, from_offset: int, wait_s: float, *, max_bytes: int = MAX_READ_BYTES
     ) -> LogSlice:
-        return await MemoryTopic.read(self.topic(topic), from_offset, wait_s, most_bytes)
+        return await MemoryTopic.read(self.topic(topic), from_offset, wait_s, max_bytes)
 
     async def append(  # type: ignore[override]
         self, topic: str, entries: Sequence[tuple[str, bytes]], at: int = UNCONDITIONAL
--- a/tests/durable/runner_stage.py
+++ b/tests/durable/runner_stage.py
@@ -10,10 +10,10 @@
 from samphirecleat.crashes import CrashGuard
 from samphirecleat.durable import (
     GenerationCall,
-    GenerationEnd,
     GenerationError,
+    GenerationEvent,
+    GenerationFailure,
     ItemSpec,
-    Piece,
     Scorer,
     StepLog,
     StepRequest,
@@ -52,7 +52,7 @@
     """
 
     def __init__(self) -> None:
-        self.ends: defaultdict[str, list[GenerationEnd]] = defaultdict(list)
+        self.ends: defaultdict[str, list[GenerationFailure]] = defaultdict(list)
         self.event_s: defaultdict[str, float] = defaultdict(lambda: EVENT_S)
         self.versions: defaultdict[str, int] = defaultdict(lambda: 1)
         self.calls: list[tuple[str, GenerationCall]] = []
@@ -60,24 +60,32 @@
         self.events = EVENTS
         self.ends_on: set[str] = set()
 
-    def generate(self, call: GenerationCall, target: Target) -> AsyncGenerator[Piece, None]:
+    def generate(
+        self, call: GenerationCall, target: Target
+    ) -> AsyncGenerator[GenerationEvent, None]:
         self.calls.append((target.instance, call))
         return self._stream(call, target.instance)
 
-    async def _stream(self, call: GenerationCall, engine: str) -> AsyncGenerator[Piece, None]:
+    async def _stream(
+        self, call: GenerationCall, engine: str
+    ) -> AsyncGenerator[GenerationEvent, None]:
         ends = self.ends[engine]
         end = ends.pop(0) if ends else None
         try:
             if call.item_id in self.ends_on:
                 await asyncio.sleep(EVENT_S)
-                raise GenerationError("reset", GenerationEnd.BROKEN, cut=True)
-            if end is GenerationEnd.SILENT:
+                raise GenerationError("reset", GenerationFailure.BROKEN, cut=True)
+            if end is GenerationFailure.SILENT:
                 await asyncio.sleep(1e6)
-            if end in (GenerationEnd.REFUSED, GenerationEnd.FAILED, GenerationEnd.IMPOSSIBLE):
+            if end in (
+                GenerationFailure.REFUSED,
+                GenerationFailure.FAILED,
+                GenerationFailure.IMPOSSIBLE,
+            ):
                 raise GenerationError("as scripted", end)
             for event_id in range(call.last_event_id + 1, self.events + 1):
                 await asyncio.sleep(self.event_s[engine])
-                yield Piece(event_id, f"{event_id}", self.versions[engine])
+                yield GenerationEvent(event_id, f"{event_id}", self.versions[engine])
                 if end is not None:
                     raise GenerationError("as scripted", end)
         finally:
--- a/tests/durable/test_item_decisions.py
+++ b/tests/durable/test_item_decisions.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from samphirecleat.durable import EngineView, GenerationEnd
+from samphirecleat.durable import EngineView, GenerationFailure
 from samphirecleat.durable._item_decisions import (
     ENGINE_REST_S,
     ITEM_REST_S,
@@ -123,21 +123,21 @@
 @pytest.mark.parametrize(
     ("reason", "failures", "want"),
     [
-        (GenerationEnd.IMPOSSIBLE, 0, Aftermath(item_dead=True)),
-        (GenerationEnd.FAILED, 2, Aftermath(item_dead=False)),
-        (GenerationEnd.FAILED, 3, Aftermath(item_dead=True)),
-        (GenerationEnd.REFUSED, 0, Aftermath(engine_rest_s=REFUSAL_REST_S)),
-        (GenerationEnd.BROKEN, 0, Aftermath(engine_rest_s=ENGINE_REST_S)),
-        (GenerationEnd.WRONG_INSTANCE, 0, Aftermath(engine_rest_s=ENGINE_REST_S)),
-        (GenerationEnd.SILENT, 0, Aftermath(item_rest_s=0.0, engine_rest_s=ENGINE_REST_S)),
+        (GenerationFailure.IMPOSSIBLE, 0, Aftermath(item_dead=True)),
+        (GenerationFailure.FAILED, 2, Aftermath(item_dead=False)),
+        (GenerationFailure.FAILED, 3, Aftermath(item_dead=True)),
+        (GenerationFailure.REFUSED, 0, Aftermath(engine_rest_s=REFUSAL_REST_S)),
+        (GenerationFailure.BROKEN, 0, Aftermath(engine_rest_s=ENGINE_REST_S)),
+        (GenerationFailure.WRONG_INSTANCE, 0, Aftermath(engine_rest_s=ENGINE_REST_S)),
+        (GenerationFailure.SILENT, 0, Aftermath(item_rest_s=0.0, engine_rest_s=ENGINE_REST_S)),
     ],
 )
 def test_what_follows_a_run_that_failed(
-    reason: GenerationEnd, failures: int, want: Aftermath
+    reason: GenerationFailure, failures: int, want: Aftermath
 ) -> None:
     assert after_failed_run(reason, failures, max_attempts=3) == want
 
 
 def test_an_item_rests_a_moment_after_an_engine_failed_it() -> None:
     """An engine that fails an item at once would otherwise be asked as fast as it answers."""
-    assert after_failed_run(GenerationEnd.FAILED, 1, 3).item_rest_s == ITEM_REST_S > 0.0
+    assert after_failed_run(GenerationFailure.FAILED, 1, 3).item_rest_s == ITEM_REST_S > 0.0
--- a/tests/durable/test_item_run.py
+++ b/tests/durable/test_item_run.py
@@ -5,7 +5,12 @@
 
 import pytest
 
-from samphirecleat.durable import GenerationCall, GenerationEnd, GenerationError, Piece
+from samphirecleat.durable import (
+    GenerationCall,
+    GenerationError,
+    GenerationEvent,
+    GenerationFailure,
+)
 from samphirecleat.durable._drafts import Draft
 from samphirecleat.durable._fold import StepFold
 from samphirecleat.durable._item_run import ItemRun, stream_item
@@ -19,17 +24,19 @@
 class OneStream:
     """Yields some pieces and ends; notes what was asked and whether it was closed."""
 
-    def __init__(self, pieces: Sequence[Piece]) -> None:
+    def __init__(self, pieces: Sequence[GenerationEvent]) -> None:
         self.pieces = pieces
         self.calls: list[GenerationCall] = []
         self.closed = False
 
-    def generate(self, call: GenerationCall, target: Target) -> AsyncGenerator[Piece, None]:
+    def generate(
+        self, call: GenerationCall, target: Target
+    ) -> AsyncGenerator[GenerationEvent, None]:
         del target
         self.calls.append(call)
         return self._stream()
 
-    async def _stream(self) -> AsyncGenerator[Piece, None]:
+    async def _stream(self) -> AsyncGenerator[GenerationEvent, None]:
         try:
             for piece in self.pieces:
                 await asyncio.sleep(0.001)
@@ -43,7 +50,7 @@
     request = step(items=1, min_version=min_version)
     fold.apply(accepted(request), 0, 0.0)
     state = fold.steps["s1"]
-    state.take_items({item.item_id: item for item in request.items})
+    state.set_items({item.item_id: item for item in request.items})
     route = Route("r", "host.example", "/run/", CallKind.ROLLOUT, [], single_version=single_version)
     target = Target("e1", "svc", "127.0.0.1:1", "z", 9, False)
     return ItemRun(OpenItem(state, state.items["s1-0"], route), target, Draft("s1-0"), 1)
@@ -53,8 +60,10 @@
     asyncio.run(stream_item(run, engine, pace or Pace()))
 
 
-def pieces(*versions: int, first: int = 1) -> Sequence[Piece]:
-    return [Piece(first + at, f"{first + at}", version) for at, version in enumerate(versions)]
+def pieces(*versions: int, first: int = 1) -> Sequence[GenerationEvent]:
+    return [
+        GenerationEvent(first + at, f"{first + at}", version) for at, version in enumerate(versions)
+    ]
 
 
 def test_a_whole_stream_makes_the_text_and_tells_of_the_engine() -> None:
@@ -92,13 +101,13 @@
     ],
 )
 def test_a_stream_that_does_not_fit_breaks_off(
-    sent: Sequence[Piece], min_version: int, single_version: bool, kept: str
+    sent: Sequence[GenerationEvent], min_version: int, single_version: bool, kept: str
 ) -> None:
     run = make_run(min_version=min_version, single_version=single_version)
     engine = OneStream(sent)
     with pytest.raises(GenerationError) as caught:
         stream(run, engine)
-    assert caught.value.reason is GenerationEnd.BROKEN
+    assert caught.value.reason is GenerationFailure.BROKEN
     assert run.draft.text() == kept
     assert not run.draft.whole
     assert engine.closed
--- a/tests/durable/test_orderer.py
+++ b/tests/durable/test_orderer.py
@@ -62,7 +62,7 @@
     def demand(self, model: str, named_version: int) -> ModelDemand:
         return ModelDemand(model, named_version, named_version - 1, named_version, 9, True)
 
-    def busy_by_engine(self, model: str) -> Mapping[str, int]:
+    def runs_by_engine(self, model: str) -> Mapping[str, int]:
         return {f"nothing of {model}": 0}
 
     def version_of(self, target: Target, model: str) -> int:
@@ -71,10 +71,10 @@
     def is_slow(self, instance: str) -> bool:
         return not instance
 
-    def load_began(self, instance: str, model: str) -> None:
+    def load_started(self, instance: str, model: str) -> None:
         self.loading.add((instance, model))
 
-    def load_over(self, instance: str, model: str) -> None:
+    def load_finished(self, instance: str, model: str) -> None:
         self.loading.discard((instance, model))
 
 
--- a/tests/durable/test_reading_pace.py
+++ b/tests/durable/test_reading_pace.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from samphirecleat.durable import keeps_items_apart, reading_pause_s
+from samphirecleat.durable import reading_pause_s, stores_items_separately
 
 LISTINGS_PER_S = 30.0
 
@@ -29,4 +29,4 @@
 
 @pytest.mark.parametrize(("nodes", "apart"), [(1, False), (13, False), (75, True), (390, True)])
 def test_only_a_large_fleet_keeps_items_apart(nodes: int, apart: bool) -> None:
-    assert keeps_items_apart(nodes) is apart
+    assert stores_items_separately(nodes) is apart
--- a/tests/durable/test_runner.py
+++ b/tests/durable/test_runner.py
@@ -5,7 +5,7 @@
 import pytest
 
 from samphirecleat.crashes import FREE_ENDS, CrashLedger
-from samphirecleat.durable import GenerationEnd
+from samphirecleat.durable import GenerationFailure
 from samphirecleat.durable._item_bound import BARRED_REST_S
 
 from ..crashes.guards import make_guard
@@ -51,11 +51,11 @@
     """
 
     async def body(stage: RunnerStage) -> None:
-        stage.work.load_began("e1", "m")
+        stage.work.load_started("e1", "m")
         await stage.accept(step(items=2))
         await stage.listed(2)
         assert {engine for engine, _call in stage.engines.calls} == {"e2"}
-        stage.work.load_over("e1", "m")
+        stage.work.load_finished("e1", "m")
         await stage.accept(step("s2", items=8))
         await stage.listed(8, "s2")
 
@@ -93,10 +93,16 @@
 
 
 @pytest.mark.parametrize(
-    "end", [GenerationEnd.BROKEN, GenerationEnd.REFUSED, GenerationEnd.FAILED, GenerationEnd.SILENT]
+    "end",
+    [
+        GenerationFailure.BROKEN,
+        GenerationFailure.REFUSED,
+        GenerationFailure.FAILED,
+        GenerationFailure.SILENT,
+    ],
 )
 def test_an_item_goes_on_after_a_run_that_ended_early(
-    end: GenerationEnd, monkeypatch: pytest.MonkeyPatch
+    end: GenerationFailure, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An engine refuses an item, fails it, breaks it off or falls silent.
 
@@ -126,7 +132,7 @@
     monkeypatch.setattr("samphirecleat.durable._item_decisions.ENGINE_REST_S", 30.0)
 
     async def body(stage: RunnerStage) -> None:
-        stage.engines.ends["e1"] = [GenerationEnd.SILENT] * 9
+        stage.engines.ends["e1"] = [GenerationFailure.SILENT] * 9
         await stage.accept(step(items=2))
         await stage.listed(2)
         await stage.accept(step("s2", items=4))
@@ -139,13 +145,13 @@
 @pytest.mark.parametrize(
     ("end", "times", "dead"),
     [
-        (GenerationEnd.FAILED, 3, True),
-        (GenerationEnd.FAILED, 2, False),
-        (GenerationEnd.IMPOSSIBLE, 1, True),
+        (GenerationFailure.FAILED, 3, True),
+        (GenerationFailure.FAILED, 2, False),
+        (GenerationFailure.IMPOSSIBLE, 1, True),
     ],
 )
 def test_an_item_is_dead_only_after_what_allows_it(
-    end: GenerationEnd, times: int, dead: bool
+    end: GenerationFailure, times: int, dead: bool
 ) -> None:
     async def body(stage: RunnerStage) -> None:
         stage.engines.ends["e1"] = [end] * times
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -236,7 +236,7 @@
     step = decode_step("id", "h", "/run/x", as_json(job))
     item = step.items[0]
     assert (step.number, step.min_version, item.body) == (7, 6, b"abc")
-    assert (item.prompt_tokens, item.most_tokens, item.hinted_tokens) == (540, 400, 99)
+    assert (item.prompt_tokens, item.max_tokens, item.estimated_tokens) == (540, 400, 99)
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_target_channels.py
+++ b/tests/platform/test_target_channels.py
@@ -10,11 +10,11 @@
 
 from samphirecleat.durable import (
     GenerationCall,
-    GenerationEnd,
     GenerationError,
+    GenerationEvent,
+    GenerationFailure,
     Order,
     OrderOutcome,
-    Piece,
 )
 from samphirecleat.errors import Ran
 from samphirecleat.observe import Observer
@@ -124,8 +124,8 @@
 
 async def generate(
     sessions: TargetSessions, target: Target, last: int = 0
-) -> tuple[list[Piece], GenerationError | None]:
-    pieces: list[Piece] = []
+) -> tuple[list[GenerationEvent], GenerationError | None]:
+    pieces: list[GenerationEvent] = []
     call = GenerationCall("i1", "h", "/run/1", [("X-Model", "m")], b"p", last, 5.0, 5)
     try:
         async for piece in GenerationStream(sessions).generate(call, target):
@@ -141,7 +141,7 @@
             stand_in.answers = ["cut"]
             first, error = await generate(sessions, target)
             assert error is not None
-            assert error.reason is GenerationEnd.BROKEN
+            assert error.reason is GenerationFailure.BROKEN
             assert [p.event_id for p in first] == [1, 2, 3]
             stand_in.version = 2
             rest, error = await generate(sessions, target, last=3)
@@ -172,15 +172,15 @@
 @pytest.mark.parametrize(
     ("answer", "reason"),
     [
-        ("refused", GenerationEnd.REFUSED),
-        (500, GenerationEnd.FAILED),
-        (422, GenerationEnd.IMPOSSIBLE),
-        (502, GenerationEnd.BROKEN),
-        ("other id", GenerationEnd.BROKEN),
-        ("reset", GenerationEnd.BROKEN),
+        ("refused", GenerationFailure.REFUSED),
+        (500, GenerationFailure.FAILED),
+        (422, GenerationFailure.IMPOSSIBLE),
+        (502, GenerationFailure.BROKEN),
+        ("other id", GenerationFailure.BROKEN),
+        ("reset", GenerationFailure.BROKEN),
     ],
 )
-def test_a_run_that_does_not_start_says_why(answer: str | int, reason: GenerationEnd) -> None:
+def test_a_run_that_does_not_start_says_why(answer: str | int, reason: GenerationFailure) -> None:
     async def body() -> None:
         async with target_of() as (stand_in, target, sessions):
             stand_in.answers = [answer]
