--- a/samphirecleat/durable/__init__.py
+++ b/samphirecleat/durable/__init__.py
@@ -7,7 +7,7 @@
 from ._fold import Claim, StepFold, StepState
 from ._follower import TopicFollower
 from ._journal import ProgressJournal
-from ._listing import Written
+from ._listing import WriteResult
 from ._meeting_point import MeetingPoint
 from ._orderer import EngineReport, Order, OrderChannel, OrderOutcome
 from ._planner import (
@@ -56,7 +56,7 @@
 from ._server_orders import ScaleChannel, ScaleOutcome
 from ._server_plan import ZoneSupply, plan_spot, servers_for
 from ._step_log import StepLog
-from ._texts import TextShelf
+from ._texts import TextStore
 from ._weight_demand import engines_for, model_demand
 from ._weight_orders import Load, ModelDemand, OrderableEngine, decide_loads
 
@@ -120,9 +120,9 @@
     "StepRequest",
     "StepState",
     "TextRef",
-    "TextShelf",
+    "TextStore",
     "TopicFollower",
-    "Written",
+    "WriteResult",
     "ZoneSupply",
     "decide_loads",
     "engines_for",
--- a/samphirecleat/durable/_access.py
+++ b/samphirecleat/durable/_access.py
@@ -15,16 +15,16 @@
 from ._step_log import StepLog
 
 # How long a question may wait for the log to confirm an answer.
-CONFIRM_WITHIN_S: Final = 1.0
+CONFIRM_TIMEOUT_S: Final = 1.0
 # A reader gets what is known when the log does not say within this that there is more.
-CATCH_UP_WITHIN_S: Final = 0.2
+CATCH_UP_TIMEOUT_S: Final = 0.2
 # After an append without an answer, how long to look for it in the log before saying so.
-SETTLE_WITHIN_S: Final = 1.5
+UNKNOWN_APPEND_TIMEOUT_S: Final = 1.5
 RETRY_AFTER_S: Final = 0.3
 # How long an answer waits for the texts of its results.
-TEXTS_WITHIN_S: Final = 1.0
+TEXT_READ_TIMEOUT_S: Final = 1.0
 # One answer holds results of about this size, and at least one.
-ANSWER_BYTES: Final = 800_000
+RESPONSE_BYTES: Final = 800_000
 
 
 class ListedResult(NamedTuple):
@@ -55,18 +55,18 @@
         :raises RequestError: when it is not; ``ran`` is NO only if this submission will
             never be kept.
         """
-        if self._is_kept(request):
+        if self._is_accepted(request):
             return
         written = await self._step_log.accept(request)
         match written.outcome:
             case AppendOutcome.APPENDED:
                 return
             case AppendOutcome.UNKNOWN:
-                if await self._appears(request.step_id) and self._is_kept(request):
+                if await self._wait_until_accepted(request.step_id) and self._is_accepted(request):
                     return
                 raise RequestError(ErrorKind.OUTCOME_UNKNOWN, written.detail, ran=Ran.UNKNOWN)
             case AppendOutcome.NOT_APPENDED | AppendOutcome.CONDITION_FAILED:
-                if self._is_kept(request):
+                if self._is_accepted(request):
                     return
                 raise RequestError(
                     ErrorKind.NOT_READY,
@@ -75,7 +75,7 @@
                     retry_after_s=RETRY_AFTER_S,
                 )
 
-    def _is_kept(self, request: StepRequest) -> bool:
+    def _is_accepted(self, request: StepRequest) -> bool:
         """Whether a step of that id is kept already.
 
         :raises RequestError: when it is another workspace's.
@@ -93,13 +93,13 @@
         :raises RequestError: when the step does not exist, or this node can't be sure.
         """
         loop = asyncio.get_running_loop()
-        step = await self._find(step_id, workspace)
+        step = await self._find_step(step_id, workspace)
         known = len(step.results)
         # A reader that saw more at another node is ahead of this one, which can catch up.
         if known < after or (known == after and not self._step_log.is_fresh()):
-            await self._step_log.confirm(CONFIRM_WITHIN_S)
+            await self._step_log.confirm(CONFIRM_TIMEOUT_S)
         else:
-            await self._step_log.catch_up(CATCH_UP_WITHIN_S)
+            await self._step_log.catch_up(CATCH_UP_TIMEOUT_S)
         until_s = loop.time() + wait_s
         with self._step_log.reading():
             while len(step.results) <= after:
@@ -109,13 +109,13 @@
                 await self._step_log.wait_for_change(left_s)
         if len(step.results) < after:
             # The reader saw more elsewhere than this node knows.
-            raise _unsure("this node is behind")
-        chosen = _choose(step, after)
+            raise _not_ready("this node is behind")
+        chosen = _select_page(step, after)
         try:
-            async with asyncio.timeout(TEXTS_WITHIN_S):
+            async with asyncio.timeout(TEXT_READ_TIMEOUT_S):
                 texts = await self._step_log.texts.read([r.text for r in chosen if r.text])
         except (LogUnavailableError, TimeoutError) as error:
-            raise _unsure(f"texts can't be read now: {error!r}") from error
+            raise _not_ready(f"texts can't be read now: {error!r}") from error
         rows = [ListedResult(r, texts[r.text.key] if r.text else "") for r in chosen]
         return StepPage(len(step.item_ids), rows, after + len(rows))
 
@@ -124,14 +124,14 @@
 
         :raises RequestError: when the step does not exist, or this node can't be sure.
         """
-        step = await self._find(step_id, workspace)
+        step = await self._find_step(step_id, workspace)
         if item_id not in step.item_ids:
             return None
         try:
-            async with asyncio.timeout(TEXTS_WITHIN_S):
+            async with asyncio.timeout(TEXT_READ_TIMEOUT_S):
                 items = step.items or await self._step_log.read_items(step.spec)
         except (LogUnavailableError, TimeoutError) as error:
-            raise _unsure(f"items can't be read now: {error!r}") from error
+            raise _not_ready(f"items can't be read now: {error!r}") from error
         return items[item_id].body
 
     async def end(self, step_id: str, workspace: str = "") -> None:
@@ -139,38 +139,38 @@
 
         :raises RequestError: when the step does not exist, or the end may not be kept.
         """
-        step = await self._find(step_id, workspace)
+        step = await self._find_step(step_id, workspace)
         if step.ended:
             return
         written = await self._step_log.end(step_id)
         if written.outcome is AppendOutcome.APPENDED:
             return
-        if written.outcome is AppendOutcome.UNKNOWN and await self._is_ended(step_id):
+        if written.outcome is AppendOutcome.UNKNOWN and await self._wait_until_ended(step_id):
             return
-        raise _unsure(f"the end is not written: {written.detail}")
+        raise _not_ready(f"the end is not written: {written.detail}")
 
-    async def _find(self, step_id: str, workspace: str) -> StepState:
+    async def _find_step(self, step_id: str, workspace: str) -> StepState:
         """Return a step of a workspace; another's can't be told from one that does not exist."""
         step = self._step_log.fold.steps.get(step_id)
         if step is None:
-            if not await self._step_log.confirm(CONFIRM_WITHIN_S):
-                raise _unsure("the log can't be asked")
+            if not await self._step_log.confirm(CONFIRM_TIMEOUT_S):
+                raise _not_ready("the log can't be asked")
             step = self._step_log.fold.steps.get(step_id)
         if step is None or step.spec.workspace != workspace:
             raise RequestError(ErrorKind.UNKNOWN_STEP, f"no step {step_id}")
         return step
 
-    async def _appears(self, step_id: str) -> bool:
+    async def _wait_until_accepted(self, step_id: str) -> bool:
         """Whether a step turns up in the log after its append got no answer."""
-        until_s = asyncio.get_running_loop().time() + SETTLE_WITHIN_S
+        until_s = asyncio.get_running_loop().time() + UNKNOWN_APPEND_TIMEOUT_S
         while asyncio.get_running_loop().time() < until_s:
             if step_id in self._step_log.fold.steps:
                 return True
             await self._step_log.wait_for_change(0.1)
         return step_id in self._step_log.fold.steps
 
-    async def _is_ended(self, step_id: str) -> bool:
-        until_s = asyncio.get_running_loop().time() + SETTLE_WITHIN_S
+    async def _wait_until_ended(self, step_id: str) -> bool:
+        until_s = asyncio.get_running_loop().time() + UNKNOWN_APPEND_TIMEOUT_S
         step = self._step_log.fold.steps.get(step_id)
         while asyncio.get_running_loop().time() < until_s:
             if step is not None and step.ended:
@@ -179,17 +179,17 @@
         return step is not None and step.ended
 
 
-def _choose(step: StepState, after: int) -> Sequence[ItemListed]:
+def _select_page(step: StepState, after: int) -> Sequence[ItemListed]:
     """Return the results from a position on that one answer has room for."""
     results: list[ItemListed] = []
     size_bytes = 0
     for result in step.results[after:]:
         size_bytes += result.text.text_bytes if result.text else 0
-        if results and size_bytes > ANSWER_BYTES:
+        if results and size_bytes > RESPONSE_BYTES:
             break
         results.append(result)
     return results
 
 
-def _unsure(detail: str) -> RequestError:
+def _not_ready(detail: str) -> RequestError:
     return RequestError(ErrorKind.NOT_READY, detail, ran=Ran.NO, retry_after_s=RETRY_AFTER_S)
--- a/samphirecleat/durable/_crash_records.py
+++ b/samphirecleat/durable/_crash_records.py
@@ -24,19 +24,19 @@
 LEAST_ENDS: Final = 2
 READ_WAIT_S: Final = 10.0
 # Appends of one node are this far apart.
-GAP_S: Final = 0.05
+APPEND_INTERVAL_S: Final = 0.05
 # A node without evidence of its own waits so long, and up to so much longer for each node of the
 # fleet, for another one to have written it: if all did at once, they would use up the log's rate.
-OTHERS_WAIT_S: Final = 1.5
-WAIT_PER_NODE_S: Final = 0.1
+OTHER_WRITERS_DELAY_S: Final = 1.5
+DELAY_PER_NODE_S: Final = 0.1
 # A record that was not taken is tried again after this long, and twice as long each time.
 FIRST_RETRY_S: Final = 0.1
-LONGEST_RETRY_S: Final = 5.0
+MAX_RETRY_S: Final = 5.0
 # A call that is refused and still comes is written anew this often, so that nobody forgets it.
-REFRESH_S: Final = 600.0
+REFRESH_INTERVAL_S: Final = 600.0
 
 
-class _Written(NamedTuple):
+class _PersistedRecord(NamedTuple):
     targets: frozenset[str]
     refused: bool
     at_s: float
@@ -58,15 +58,21 @@
         self._log = log
         self._ledger = ledger
         self._observer = observer
-        self._words = observer.log("crashes")
+        self._logger = observer.log("crashes")
         self._rng = rng
         self._node_count = node_count
         self._retry_s = FIRST_RETRY_S
         self._due_s: dict[bytes, float] = {}
-        self._came = asyncio.Event()
-        self._written: dict[bytes, _Written] = {}
+        self._scheduled = asyncio.Event()
+        self._written: dict[bytes, _PersistedRecord] = {}
         self._follower = TopicFollower(
-            log, CRASH_TOPIC, self._take, observer, rng, read_wait_s=READ_WAIT_S, pause_s=pause_s
+            log,
+            CRASH_TOPIC,
+            self._apply_entries,
+            observer,
+            rng,
+            read_wait_s=READ_WAIT_S,
+            pause_s=pause_s,
         )
 
     @property
@@ -78,17 +84,17 @@
         """Follow and write for as long as the node lives."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._follower.run())
-            group.create_task(self._write_on())
+            group.create_task(self._write_loop())
 
     def record(self, mark: bytes, *, own: bool) -> None:
         """Write soon what is known of a call, unless another node does meanwhile."""
         if not self._is_news(mark):
             return
-        longest_s = WAIT_PER_NODE_S * self._node_count()
-        wait_s = 0.0 if own else OTHERS_WAIT_S + self._rng.uniform(0.0, longest_s)
-        due_s = asyncio.get_running_loop().time() + wait_s
+        max_spread_s = DELAY_PER_NODE_S * self._node_count()
+        delay_s = 0.0 if own else OTHER_WRITERS_DELAY_S + self._rng.uniform(0.0, max_spread_s)
+        due_s = asyncio.get_running_loop().time() + delay_s
         self._due_s[mark] = min(due_s, self._due_s.get(mark, math.inf))
-        self._came.set()
+        self._scheduled.set()
 
     def _is_news(self, mark: bytes) -> bool:
         """Whether the log lacks what is known of a call."""
@@ -100,21 +106,24 @@
             return False
         if written is None or (suspect.refused and not written.refused):
             return True
-        old = suspect.refused and asyncio.get_running_loop().time() - written.at_s > REFRESH_S
+        old = (
+            suspect.refused
+            and asyncio.get_running_loop().time() - written.at_s > REFRESH_INTERVAL_S
+        )
         return old or not suspect.ends.keys() <= written.targets
 
-    async def _write_on(self) -> None:
+    async def _write_loop(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            next_s = min(self._due_s.values(), default=math.inf) - loop.time()
-            self._came.clear()
+            next_due_in_s = min(self._due_s.values(), default=math.inf) - loop.time()
+            self._scheduled.clear()
             try:
-                async with asyncio.timeout(next_s if next_s < math.inf else None):
-                    await self._came.wait()
+                async with asyncio.timeout(next_due_in_s if next_due_in_s < math.inf else None):
+                    await self._scheduled.wait()
             except TimeoutError:
                 pass
             # What comes together is written together.
-            await asyncio.sleep(GAP_S)
+            await asyncio.sleep(APPEND_INTERVAL_S)
             due = [mark for mark, due_s in self._due_s.items() if due_s <= loop.time()]
             for mark in due:
                 del self._due_s[mark]
@@ -123,44 +132,46 @@
     async def _write(self, marks: Sequence[bytes]) -> None:
         if not marks:
             return
-        entries = [(mark.hex(), self._value(mark)) for mark in marks]
+        entries = [(mark.hex(), self._encode_record(mark)) for mark in marks]
         result = await self._log.append(CRASH_TOPIC, entries)
         if result.outcome is AppendOutcome.APPENDED:
             self._observer.counters["crash_records_written"] += len(marks)
             self._retry_s = FIRST_RETRY_S
             return
-        self._words.warning("calls=%d not written yet: %s", len(marks), result.detail)
-        again_s = asyncio.get_running_loop().time() + self._retry_s * self._rng.uniform(1.0, 2.0)
-        self._retry_s = min(LONGEST_RETRY_S, 2.0 * self._retry_s)
+        self._logger.warning("calls=%d not written yet: %s", len(marks), result.detail)
+        retry_at_s = asyncio.get_running_loop().time() + self._retry_s * self._rng.uniform(1.0, 2.0)
+        self._retry_s = min(MAX_RETRY_S, 2.0 * self._retry_s)
         for mark in marks:
-            self._due_s.setdefault(mark, again_s)
+            self._due_s.setdefault(mark, retry_at_s)
 
-    def _value(self, mark: bytes) -> bytes:
+    def _encode_record(self, mark: bytes) -> bytes:
         """Return the record of a call; none drops what stood there."""
         suspect = self._ledger.suspects.get(mark)
         if suspect is None or not suspect.ends:
             return b""
-        to_day_s = time.time() - asyncio.get_running_loop().time()
+        loop_to_wall_s = time.time() - asyncio.get_running_loop().time()
         ends = [
             {
                 "target": end.target,
                 "node": end.node,
-                "begun_ms": round((end.begun_s + to_day_s) * 1000.0),
-                "ended_ms": round((end.ended_s + to_day_s) * 1000.0),
+                "begun_ms": round((end.begun_s + loop_to_wall_s) * 1000.0),
+                "ended_ms": round((end.ended_s + loop_to_wall_s) * 1000.0),
             }
             for end in suspect.ends.values()
         ]
         return msgspec.json.encode({"refused": suspect.refused, "ends": ends})
 
-    def _take(self, entries: Sequence[LogEntry], past: bool) -> None:
+    def _apply_entries(self, entries: Sequence[LogEntry], historical: bool) -> None:
         now_s = asyncio.get_running_loop().time()
         for entry in entries:
             try:
-                self._take_one(bytes.fromhex(entry.key), entry.value, now_s, past=past)
+                self._apply_record(
+                    bytes.fromhex(entry.key), entry.value, now_s, historical=historical
+                )
             except (msgspec.MsgspecError, ValueError, KeyError, TypeError) as error:
-                self._words.error("offset=%d not understood: %r", entry.offset, error)
+                self._logger.error("offset=%d not understood: %r", entry.offset, error)
 
-    def _take_one(self, mark: bytes, value: bytes, now_s: float, *, past: bool) -> None:
+    def _apply_record(self, mark: bytes, value: bytes, now_s: float, *, historical: bool) -> None:
         """Take one record.
 
         :raises ValueError: and the like, when it is none.
@@ -170,19 +181,21 @@
             self._ledger.drop(mark)
             return
         body: Mapping[str, Any] = msgspec.json.decode(value)
-        from_day_s = now_s - time.time()
+        wall_to_loop_s = now_s - time.time()
         ends = [
             RunEnd(
                 str(row["target"]),
-                float(row["begun_ms"]) / 1000.0 + from_day_s,
-                float(row["ended_ms"]) / 1000.0 + from_day_s,
+                float(row["begun_ms"]) / 1000.0 + wall_to_loop_s,
+                float(row["ended_ms"]) / 1000.0 + wall_to_loop_s,
                 str(row["node"]),
             )
             for row in body["ends"]
         ]
         refused = bool(body["refused"])
         for end in ends:
-            self._ledger.note_end(mark, end, now_s, fresh=not past)
+            self._ledger.note_end(mark, end, now_s, fresh=not historical)
         if refused and self._ledger.note_refused(mark, now_s):
-            self._words.warning("call=%s barred by the log ends=%d", mark.hex(), len(ends))
-        self._written[mark] = _Written(frozenset(end.target for end in ends), refused, now_s)
+            self._logger.warning("call=%s barred by the log ends=%d", mark.hex(), len(ends))
+        self._written[mark] = _PersistedRecord(
+            frozenset(end.target for end in ends), refused, now_s
+        )
--- a/samphirecleat/durable/_follower.py
+++ b/samphirecleat/durable/_follower.py
@@ -13,7 +13,7 @@
 # connection went silent, and how old a confirmed end can be.
 READ_WAIT_S: Final = 0.5
 # Between failed reads, so that a store that is down is not called in a tight loop.
-RETRY_S: Final = (0.05, 0.15)
+RETRY_DELAY_RANGE_S: Final = (0.05, 0.15)
 
 Sink = Callable[[Sequence[LogEntry], bool], None]
 """Takes entries in offset order; the flag says that they were there before the follower was.
@@ -56,11 +56,11 @@
         self._sink = sink
         self._observer = observer
         self._rng = rng
-        self._words = observer.log("follow")
+        self._logger = observer.log("follow")
         self.end = -1
         self.confirmed_at_s = -1e9
         self.unavailable_at_s = -1e9
-        self._hurried = asyncio.Event()
+        self._pause_skipped = asyncio.Event()
         self.pausing = False
 
     @property
@@ -74,36 +74,36 @@
 
     async def run(self) -> None:
         """Follow for as long as the node lives."""
-        failed = False
+        unavailable = False
         while True:
             before = self.end
             try:
                 await self.advance(self._read_wait_s)
             except LogUnavailableError as error:
                 self.unavailable_at_s = boot_time_s()
-                if not failed:
-                    self._words.warning("topic=%s lost: %s", self._topic, error)
-                failed = True
-                await asyncio.sleep(self._rng.uniform(*RETRY_S))
+                if not unavailable:
+                    self._logger.warning("topic=%s lost: %s", self._topic, error)
+                unavailable = True
+                await asyncio.sleep(self._rng.uniform(*RETRY_DELAY_RANGE_S))
                 continue
-            if failed:
-                self._words.info("topic=%s regained end=%d", self._topic, self.end)
-            failed = False
+            if unavailable:
+                self._logger.info("topic=%s regained end=%d", self._topic, self.end)
+            unavailable = False
             pause_s = self._pause_s() if self.caught_up and self.end > before else 0.0
             if pause_s > 0.0:
                 await self._pause(pause_s)
 
-    def hurry(self) -> None:
+    def skip_pause(self) -> None:
         """Read on at once if the follower pauses: somebody waits for what is new."""
         if self.pausing:
-            self._hurried.set()
+            self._pause_skipped.set()
 
     async def _pause(self, pause_s: float) -> None:
-        self._hurried.clear()
+        self._pause_skipped.clear()
         self.pausing = True
         try:
             async with asyncio.timeout(pause_s):
-                await self._hurried.wait()
+                await self._pause_skipped.wait()
         except TimeoutError:
             return
         finally:
@@ -124,10 +124,10 @@
         try:
             chunk = await self._log.read(self._topic, self.end, wait_s)
         except HistoryGoneError:
-            self._words.warning("topic=%s history gone before %d", self._topic, self.end)
+            self._logger.warning("topic=%s history gone before %d", self._topic, self.end)
             await self._snapshot()
             return
-        self._take(chunk.entries, chunk.end)
+        self._deliver(chunk.entries, chunk.end)
 
     async def confirm(self, timeout_s: float) -> bool:
         """Take all that is in the log now; False when that is not known to have worked."""
@@ -147,21 +147,21 @@
             # What was appended while the pages were read may lack an entry in between;
             # it is read again from the end on.
             entries = [entry for entry in entries if self.end <= entry.offset < snapshot.end]
-        self._words.info("topic=%s newest=%d end=%d", self._topic, len(entries), snapshot.end)
+        self._logger.info("topic=%s newest=%d end=%d", self._topic, len(entries), snapshot.end)
         self._sink(entries, True)
         self.end = max(self.end, snapshot.end)
-        self._confirm()
+        self._mark_confirmed()
 
-    def _take(self, entries: Sequence[LogEntry], end: int) -> None:
+    def _deliver(self, entries: Sequence[LogEntry], end: int) -> None:
         # Two reads may be under way at once; what the other brought is not taken twice.
         fresh = [entry for entry in entries if entry.offset >= self.end]
         if fresh:
             self._sink(fresh, not self.caught_up)
             self.end = fresh[-1].offset + 1
         if self.end >= end:
-            self._confirm()
+            self._mark_confirmed()
 
-    def _confirm(self) -> None:
+    def _mark_confirmed(self) -> None:
         if not self.caught_up:
-            self._words.info("topic=%s caught up end=%d", self._topic, self.end)
+            self._logger.info("topic=%s caught up end=%d", self._topic, self.end)
         self.confirmed_at_s = boot_time_s()
--- a/samphirecleat/durable/_item_shelf.py
+++ b/samphirecleat/durable/_item_shelf.py
@@ -7,24 +7,24 @@
 
 from ._ports import LogUnavailableError
 from ._records import ItemSpec, TextRef
-from ._texts import TextShelf
+from ._texts import TextStore
 
 _DECODER: Final = msgspec.msgpack.Decoder(list[ItemSpec])
 # The key of a step's items among its texts.
-_NAME: Final = ""
+_ITEMS_NAME: Final = ""
 
 
-class ItemShelf:
+class ItemStore:
     """Writes and reads the items of steps, beside the texts of their results."""
 
-    def __init__(self, texts: TextShelf) -> None:
+    def __init__(self, texts: TextStore) -> None:
         """Keep them where ``texts`` keeps what it is given."""
         self._texts = texts
 
     async def write(self, step_id: str, items: Sequence[ItemSpec]) -> TextRef | None:
         """Return where a step's items stand, None if they may not be kept."""
-        refs = await self._texts.write_blobs(step_id, {_NAME: msgspec.msgpack.encode(items)})
-        return refs[_NAME] if refs is not None else None
+        refs = await self._texts.write_blobs(step_id, {_ITEMS_NAME: msgspec.msgpack.encode(items)})
+        return refs[_ITEMS_NAME] if refs is not None else None
 
     async def read(self, ref: TextRef) -> Mapping[str, ItemSpec]:
         """Return a step's items by id.
--- a/samphirecleat/durable/_listing.py
+++ b/samphirecleat/durable/_listing.py
@@ -9,23 +9,23 @@
 from ._item_decisions import ItemName
 from ._ports import AppendOutcome
 from ._records import FinishedItem, ItemListed, ResultsListed, TextRef
-from ._texts import TextShelf
+from ._texts import TextStore
 
 # What one append of texts may carry; the log takes two megabytes, and a slow link takes a
 # moment for it. Texts count as written out, of which packing leaves two thirds or less.
-APPEND_BYTES: Final = 1_000_000
+MAX_APPEND_BYTES: Final = 1_000_000
 # Between tries to list results while the log gives no answer.
-RELIST_S: Final = 0.2
+RETRY_DELAY_S: Final = 0.2
 
 
-class Written(NamedTuple):
+class WriteResult(NamedTuple):
     """What became of one record that was written."""
 
     outcome: AppendOutcome
     detail: str = ""
 
 
-Write = Callable[[Sequence[ResultsListed]], Awaitable[Written]]
+Write = Callable[[Sequence[ResultsListed]], Awaitable[WriteResult]]
 """Appends records in one go, all or none of them."""
 
 
@@ -41,13 +41,13 @@
     that were written before, so that a result waits for two appends at most before its own.
     """
 
-    def __init__(self, fold: StepFold, texts: TextShelf, write: Write, observer: Observer) -> None:
+    def __init__(self, fold: StepFold, texts: TextStore, write: Write, observer: Observer) -> None:
         """Write records with ``write``; ``fold`` tells which results still count."""
         self._fold = fold
         self._texts = texts
         self._write = write
         self._observer = observer
-        self._words = observer.log("listing")
+        self._logger = observer.log("listing")
         self._waiting: dict[ItemName, FinishedItem] = {}
         self._written: dict[ItemName, TextRef] = {}
         self._writing: dict[str, asyncio.Task[None]] = {}
@@ -69,25 +69,25 @@
             while True:
                 await self._changed.wait()
                 self._changed.clear()
-                self._drop_what_counts_no_more()
+                self._discard_obsolete()
                 self._write_texts()
-                rows = self._ready_rows()
+                rows = self._rows_to_list()
                 if not rows:
                     continue
                 # What becomes ready during the append goes into the next one.
                 self._changed.set()
                 if not await self._list(rows):
-                    await asyncio.sleep(RELIST_S)
+                    await asyncio.sleep(RETRY_DELAY_S)
         finally:
             for task in list(self._writing.values()):
                 task.cancel()
 
-    def _drop_what_counts_no_more(self) -> None:
-        for name in [name for name in self._waiting if not self._counts(name)]:
+    def _discard_obsolete(self) -> None:
+        for name in [name for name in self._waiting if not self._is_wanted(name)]:
             del self._waiting[name]
             self._written.pop(name, None)
 
-    def _counts(self, name: ItemName) -> bool:
+    def _is_wanted(self, name: ItemName) -> bool:
         step = self._fold.steps.get(name[0])
         return step is not None and not step.ended and name[1] in step.unlisted
 
@@ -99,14 +99,14 @@
                 unwritten.setdefault(item.step_id, []).append(item)
         for step_id, items in unwritten.items():
             if step_id not in self._writing:
-                work = self._write_batch(step_id, _up_to_an_append(items))
+                work = self._write_batch(step_id, _first_append(items))
                 self._writing[step_id] = asyncio.ensure_future(work)
 
     async def _write_batch(self, step_id: str, items: Sequence[FinishedItem]) -> None:
         try:
             refs = await self._texts.write(step_id, items)
             if refs is None:
-                await asyncio.sleep(RELIST_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 return
             for item_id, ref in refs.items():
                 if (step_id, item_id) in self._waiting:
@@ -115,7 +115,7 @@
             del self._writing[step_id]
             self._changed.set()
 
-    def _ready_rows(self) -> Mapping[str, Sequence[ItemListed]]:
+    def _rows_to_list(self) -> Mapping[str, Sequence[ItemListed]]:
         """Return by step what can be listed: given up, or with a text that is kept."""
         rows: dict[str, list[ItemListed]] = {}
         for name, item in self._waiting.items():
@@ -130,7 +130,7 @@
         began_s = asyncio.get_running_loop().time()
         written = await self._write([ResultsListed(step_id, of) for step_id, of in rows.items()])
         if written.outcome is not AppendOutcome.APPENDED:
-            self._words.warning(
+            self._logger.warning(
                 "steps=%s results=%d outcome=%s detail=%s; tried again",
                 ",".join(rows),
                 sum(len(of) for of in rows.values()),
@@ -146,16 +146,16 @@
         return True
 
 
-def _up_to_an_append(items: Sequence[FinishedItem]) -> Sequence[FinishedItem]:
+def _first_append(items: Sequence[FinishedItem]) -> Sequence[FinishedItem]:
     """Return the first items, one at least, as many as one append of texts may carry."""
     size_bytes = 0
     for at, item in enumerate(items):
-        size_bytes += _most_bytes(item.text or "")
-        if at and size_bytes > APPEND_BYTES:
+        size_bytes += _max_utf8_bytes(item.text or "")
+        if at and size_bytes > MAX_APPEND_BYTES:
             return items[:at]
     return items
 
 
-def _most_bytes(text: str) -> int:
+def _max_utf8_bytes(text: str) -> int:
     """Return the most that a text takes when it is written; packing may leave all of it."""
     return len(text) if text.isascii() else 4 * len(text)
--- a/samphirecleat/durable/_orderer.py
+++ b/samphirecleat/durable/_orderer.py
@@ -18,13 +18,13 @@
 from ._duty import Holder
 from ._weight_orders import ModelDemand, OrderableEngine, decide_loads
 
-LOOK_EVERY_S: Final = 0.1
+POLL_INTERVAL_S: Final = 0.1
 # A load takes about a second; asked any earlier, the engine is still busy.
-FIRST_LOOK_S: Final = 0.7
-NEXT_LOOK_S: Final = 0.3
+FIRST_LOAD_CHECK_S: Final = 0.7
+LOAD_CHECK_INTERVAL_S: Final = 0.3
 # After an order without an answer, and after an order that the engine refused.
-UNKNOWN_REST_S: Final = 1.0
-REFUSED_REST_S: Final = 0.4
+UNKNOWN_OUTCOME_DELAY_S: Final = 1.0
+REJECTED_BACKOFF_S: Final = 0.4
 ORDER_TIMEOUT_S: Final = 0.8
 
 
@@ -104,15 +104,15 @@
 
 
 @dataclass
-class _Known:
+class _EngineModelState:
     """What the holder knows of one model at one start of an engine."""
 
     started_at_ms: int
-    name: tuple[str, str]
+    key: tuple[str, str]
     version: int = 0
     loading_version: int = 0
-    look_at_s: float = 0.0
-    rests_until_s: float = 0.0
+    next_check_at_s: float = 0.0
+    backoff_until_s: float = 0.0
 
 
 class Orderer:
@@ -137,12 +137,12 @@
         self._targets = targets
         self._channel = channel
         self._observer = observer
-        self._words = observer.log("orders")
+        self._logger = observer.log("orders")
         self._named = named
         self._work = work
-        self._known: dict[tuple[str, str], _Known] = {}
+        self._states: dict[tuple[str, str], _EngineModelState] = {}
         self._orders_accepted: dict[str, int] = {}
-        self._orders: set[asyncio.Task[None]] = set()
+        self._order_tasks: set[asyncio.Task[None]] = set()
         self._fenced = False
 
     async def run(self) -> None:
@@ -150,22 +150,22 @@
         try:
             while not self._fenced:
                 if self._holder.acts_now():
-                    self._step()
-                await asyncio.sleep(LOOK_EVERY_S)
-            self._words.warning("service=%s fenced; a newer holder orders", self._service)
+                    self._poll()
+                await asyncio.sleep(POLL_INTERVAL_S)
+            self._logger.warning("service=%s fenced; a newer holder orders", self._service)
         finally:
-            for task in list(self._orders):
+            for task in list(self._order_tasks):
                 task.cancel()
 
-    def _step(self) -> None:
+    def _poll(self) -> None:
         now_s = asyncio.get_running_loop().time()
         spec = self._routes.config.services.get(self._service)
         if spec is None or spec.engine is None:
             return
         serving = {target.instance: target for target in self._targets.serving(self._service)}
-        for name in [name for name in self._known if name[0] not in serving]:
-            del self._known[name]
-            self._work.load_finished(*name)
+        for key in [key for key in self._states if key[0] not in serving]:
+            del self._states[key]
+            self._work.load_finished(*key)
         models = [model for model in spec.engine.models if self._named(model) > 1]
         for target in serving.values():
             for model in models:
@@ -175,12 +175,12 @@
         demands = [self._work.demand(model, self._named(model)) for model in models]
         by_model = {demand.model: demand for demand in demands}
         for load in decide_loads(views, demands):
-            known = self._known[load.instance, load.model]
+            state = self._states[load.instance, load.model]
             demand = by_model[load.model]
-            known.loading_version = demand.named_version
-            known.look_at_s = now_s + ORDER_TIMEOUT_S + FIRST_LOOK_S
-            self._work.load_started(*known.name)
-            self._spawn(self._give(serving[load.instance], demand, known))
+            state.loading_version = demand.named_version
+            state.next_check_at_s = now_s + ORDER_TIMEOUT_S + FIRST_LOAD_CHECK_S
+            self._work.load_started(*state.key)
+            self._spawn(self._send_order(serving[load.instance], demand, state))
 
     def _view(
         self,
@@ -189,79 +189,81 @@
         runs: Mapping[str, Mapping[str, int]],
         now_s: float,
     ) -> OrderableEngine:
-        known = {model: self._known[instance, model] for model in models}
-        loading = [model for model in models if known[model].loading_version]
+        states = {model: self._states[instance, model] for model in models}
+        loading = [model for model in models if states[model].loading_version]
         return OrderableEngine(
             instance,
-            {model: known[model].version for model in models},
+            {model: states[model].version for model in models},
             {model: runs[model].get(instance, 0) for model in models},
             loading[0] if loading else "",
-            any(state.rests_until_s > now_s for state in known.values()),
+            any(state.backoff_until_s > now_s for state in states.values()),
             self._work.is_slow(instance),
         )
 
     def _refresh(self, target: Target, model: str, now_s: float) -> None:
         """Take what is known of an engine's weights; look at a load that should be done."""
-        name = (target.instance, model)
-        known = self._known.get(name)
-        if known is None or known.started_at_ms != target.started_at_ms:
-            known = self._known[name] = _Known(target.started_at_ms, name)
+        key = (target.instance, model)
+        state = self._states.get(key)
+        if state is None or state.started_at_ms != target.started_at_ms:
+            state = self._states[key] = _EngineModelState(target.started_at_ms, key)
             # An engine that starts again counts its orders anew.
             self._orders_accepted.pop(target.instance, None)
-            self._work.load_finished(*name)
-        known.version = max(known.version, self._work.version_of(target, model))
-        if known.loading_version and known.version >= known.loading_version:
-            self._load_over(known)
-        if known.loading_version and known.look_at_s <= now_s:
-            known.look_at_s = now_s + NEXT_LOOK_S
-            self._spawn(self._look(target, model, known))
-
-    def _note_version(self, known: _Known, version: int) -> None:
+            self._work.load_finished(*key)
+        state.version = max(state.version, self._work.version_of(target, model))
+        if state.loading_version and state.version >= state.loading_version:
+            self._finish_load(state)
+        if state.loading_version and state.next_check_at_s <= now_s:
+            state.next_check_at_s = now_s + LOAD_CHECK_INTERVAL_S
+            self._spawn(self._check_load(target, model, state))
+
+    def _note_version(self, state: _EngineModelState, version: int) -> None:
         """Take what an engine said of itself.
 
         Its registration says the same a second later, or not at all while the store is away,
         and the items that wait for the version would wait with it.
         """
-        known.version = max(known.version, version)
-        self._work.note_version(*known.name, known.version)
+        state.version = max(state.version, version)
+        self._work.note_version(*state.key, state.version)
 
-    def _load_over(self, known: _Known) -> None:
-        known.loading_version = 0
-        self._work.load_finished(*known.name)
+    def _finish_load(self, state: _EngineModelState) -> None:
+        state.loading_version = 0
+        self._work.load_finished(*state.key)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.ensure_future(work)
-        self._orders.add(task)
-        task.add_done_callback(self._orders.discard)
+        self._order_tasks.add(task)
+        task.add_done_callback(self._order_tasks.discard)
 
-    async def _look(self, target: Target, model: str, known: _Known) -> None:
+    async def _check_load(self, target: Target, model: str, state: _EngineModelState) -> None:
         """Ask an engine how far its load is."""
         report = await self._channel.report(target)
-        if report is None or not known.loading_version:
+        if report is None or not state.loading_version:
             return
-        self._note_version(known, report.versions.get(model, 0))
+        self._note_version(state, report.versions.get(model, 0))
         self._orders_accepted[target.instance] = report.orders_accepted
-        if known.version >= known.loading_version:
-            self._load_over(known)
+        if state.version >= state.loading_version:
+            self._finish_load(state)
         elif not report.busy:
             # Nothing is being loaded: the order was not taken, or is still to come; in
             # that case its condition fails once the next one was taken.
-            self._failed(known, REFUSED_REST_S)
+            self._back_off(state, REJECTED_BACKOFF_S)
 
-    async def _give(self, target: Target, demand: ModelDemand, known: _Known) -> None:
+    async def _send_order(
+        self, target: Target, demand: ModelDemand, state: _EngineModelState
+    ) -> None:
         model, version = demand.model, demand.named_version
         if target.instance not in self._orders_accepted:
             report = await self._channel.report(target)
             if report is None:
-                self._failed(known, REFUSED_REST_S)
+                self._back_off(state, REJECTED_BACKOFF_S)
                 return
             self._orders_accepted[target.instance] = report.orders_accepted
-            self._note_version(known, report.versions.get(model, 0))
-            if known.version >= version:
-                self._load_over(known)
+            self._note_version(state, report.versions.get(model, 0))
+            if state.version >= version:
+                self._finish_load(state)
                 return
         if not self._holder.acts_now():
-            self._failed(known, 0.0)
+            self._back_off(state, 0.0)
             return
         expected = self._orders_accepted.get(target.instance, 0)
         order = Order(
@@ -274,7 +276,7 @@
         )
         outcome = await self._channel.order(target, order, ORDER_TIMEOUT_S)
         now_s = asyncio.get_running_loop().time()
-        self._words.info(
+        self._logger.info(
             "target=%s model=%s version=%d fencing=%d expected=%d outcome=%s",
             target.instance,
             model,
@@ -287,20 +289,20 @@
         match outcome:
             case OrderOutcome.ACCEPTED:
                 self._orders_accepted[target.instance] = expected + 1
-                known.look_at_s = now_s + FIRST_LOOK_S
+                state.next_check_at_s = now_s + FIRST_LOAD_CHECK_S
             case OrderOutcome.HOLDS:
-                self._note_version(known, version)
-                self._load_over(known)
+                self._note_version(state, version)
+                self._finish_load(state)
             case OrderOutcome.FENCED:
-                self._failed(known, REFUSED_REST_S)
+                self._back_off(state, REJECTED_BACKOFF_S)
                 self._fenced = True
             case OrderOutcome.UNKNOWN:
                 self._orders_accepted.pop(target.instance, None)
-                known.look_at_s = now_s + UNKNOWN_REST_S
+                state.next_check_at_s = now_s + UNKNOWN_OUTCOME_DELAY_S
             case OrderOutcome.CONFLICT | OrderOutcome.REJECTED:
                 self._orders_accepted.pop(target.instance, None)
-                self._failed(known, REFUSED_REST_S)
+                self._back_off(state, REJECTED_BACKOFF_S)
 
-    def _failed(self, known: _Known, rest_s: float) -> None:
-        self._load_over(known)
-        known.rests_until_s = asyncio.get_running_loop().time() + rest_s
+    def _back_off(self, state: _EngineModelState, backoff_s: float) -> None:
+        self._finish_load(state)
+        state.backoff_until_s = asyncio.get_running_loop().time() + backoff_s
--- a/samphirecleat/durable/_reading_pace.py
+++ b/samphirecleat/durable/_reading_pace.py
@@ -9,12 +9,12 @@
 
 # Nodes that may read on at once at every listing: thirty reads a second of each are a third of
 # the smallest store's rate.
-UNPACED_NODES: Final = 20
+MAX_UNPACED_NODES: Final = 20
 # Each further node adds this much to the pause of all. At 75 nodes that makes some eight reads a
 # second of each, at 390 two or three.
 PAUSE_PER_NODE_S: Final = 0.002
 # Results are seen at a node this much later at most, a third of what trainers may notice.
-LONGEST_PAUSE_S: Final = 0.35
+MAX_PAUSE_S: Final = 0.35
 
 
 def stores_items_separately(node_count: int) -> bool:
@@ -23,7 +23,7 @@
     In a small fleet they cost little to read, and a call less to the log decides more: while the
     store loses answers, each call may cost a second.
     """
-    return node_count > UNPACED_NODES
+    return node_count > MAX_UNPACED_NODES
 
 
 def reading_pause_s(node_count: int, *, runs_work: bool) -> float:
@@ -33,4 +33,4 @@
     """
     if runs_work:
         return 0.0
-    return min(LONGEST_PAUSE_S, PAUSE_PER_NODE_S * max(0, node_count - UNPACED_NODES))
+    return min(MAX_PAUSE_S, PAUSE_PER_NODE_S * max(0, node_count - MAX_UNPACED_NODES))
--- a/samphirecleat/durable/_records.py
+++ b/samphirecleat/durable/_records.py
@@ -15,9 +15,9 @@
 # The log takes records of up to 262,143 bytes; half of that leaves room for the key and
 # keeps one large text from filling an append.
 PART_BYTES: Final = 131_072
-_HEADER: Final = 4
+_PART_HEADER_BYTES: Final = 4
 # A writer's id begins with its incarnation, of which this much stands in keys.
-INCARNATION_CHARS: Final = 8
+INCARNATION_PREFIX_CHARS: Final = 8
 # Texts shrink by a third at the fastest level, which takes 20 ms a megabyte.
 _ZLIB_LEVEL: Final = 1
 
@@ -188,14 +188,14 @@
 
 
 Record = StepAccepted | ResultsListed | StepEnded | RunnerClaimed
-_TAGS: Final[dict[int, type[Any]]] = {
+_TYPE_BY_TAG: Final[dict[int, type[Any]]] = {
     1: StepAccepted,
     2: ResultsListed,
     3: StepEnded,
     4: RunnerClaimed,
 }
-_TAG_OF: Final = {kind: tag for tag, kind in _TAGS.items()}
-_DECODERS: Final = {tag: msgspec.msgpack.Decoder(kind) for tag, kind in _TAGS.items()}
+_TAG_BY_TYPE: Final = {kind: tag for tag, kind in _TYPE_BY_TAG.items()}
+_DECODER_BY_TAG: Final = {tag: msgspec.msgpack.Decoder(kind) for tag, kind in _TYPE_BY_TAG.items()}
 
 
 class RecordFormatError(Exception):
@@ -204,7 +204,7 @@
 
 def encode_record(record: Record) -> bytes:
     """Return the bytes of a record."""
-    return bytes([_TAG_OF[type(record)]]) + compress(msgspec.msgpack.encode(record))
+    return bytes([_TAG_BY_TYPE[type(record)]]) + compress(msgspec.msgpack.encode(record))
 
 
 def compress(content: bytes) -> bytes:
@@ -228,7 +228,7 @@
 
     :raises RecordFormatError: when they hold none.
     """
-    decoder = _DECODERS.get(blob[0]) if blob else None
+    decoder = _DECODER_BY_TAG.get(blob[0]) if blob else None
     if decoder is None:
         raise RecordFormatError(f"tag {blob[:1]!r}")
     try:
@@ -255,7 +255,7 @@
 
 def join_blob(values: Sequence[bytes]) -> bytes:
     """Return the bytes that the values of consecutive entries carry."""
-    return b"".join(value[_HEADER:] for value in values)
+    return b"".join(value[_PART_HEADER_BYTES:] for value in values)
 
 
 class RecordAssembler:
@@ -274,14 +274,14 @@
 
         :raises RecordFormatError: for an entry that is not understood.
         """
-        if len(value) <= _HEADER:
+        if len(value) <= _PART_HEADER_BYTES:
             return None
-        part, count = int.from_bytes(value[:2]), int.from_bytes(value[2:_HEADER])
+        part, count = int.from_bytes(value[:2]), int.from_bytes(value[2:_PART_HEADER_BYTES])
         if count <= 1:
-            return decode_record(value[_HEADER:])
+            return decode_record(value[_PART_HEADER_BYTES:])
         name = key.rpartition(".")[0]
         parts = self._parts.setdefault(name, {})
-        parts[part] = value[_HEADER:]
+        parts[part] = value[_PART_HEADER_BYTES:]
         if len(parts) < count:
             return None
         del self._parts[name]
@@ -293,7 +293,7 @@
     return hashlib.blake2b(subject.encode(), digest_size=10).hexdigest()
 
 
-def writer_of(key: str) -> str:
+def writer_incarnation(key: str) -> str:
     """Return the beginning of the incarnation that wrote an entry, "" for a key of another form."""
     parts = key.split("/")
     return incarnation_prefix(parts[1]) if len(parts) > 1 else ""
@@ -301,4 +301,4 @@
 
 def incarnation_prefix(writer: str) -> str:
     """Return what the ids of an incarnation and of its writers have in common: their beginning."""
-    return writer[:INCARNATION_CHARS]
+    return writer[:INCARNATION_PREFIX_CHARS]
--- a/samphirecleat/durable/_retention.py
+++ b/samphirecleat/durable/_retention.py
@@ -10,7 +10,7 @@
 from ..observe import Observer
 from ._step_log import StepLog
 
-SWEEP_EVERY_S: Final = 5.0
+SWEEP_INTERVAL_S: Final = 5.0
 
 
 async def drop_forgotten_steps(step_log: StepLog, observer: Observer) -> None:
@@ -19,13 +19,13 @@
     A step that is half dropped, or whose runner was lost before, is dropped again by the
     next one: every node keeps the names of the steps that it forgot last.
     """
-    words = observer.log("retention")
+    logger = observer.log("retention")
     while True:
-        await asyncio.sleep(SWEEP_EVERY_S)
+        await asyncio.sleep(SWEEP_INTERVAL_S)
         while step_log.forgotten:
             step_id = step_log.forgotten[0]
             if not await step_log.drop(step_id):
-                words.warning("step=%s not dropped; tried again", step_id)
+                logger.warning("step=%s not dropped; tried again", step_id)
                 break
             step_log.forgotten.popleft()
-            words.info("step=%s dropped from the log", step_id)
+            logger.info("step=%s dropped from the log", step_id)
--- a/samphirecleat/durable/_step_log.py
+++ b/samphirecleat/durable/_step_log.py
@@ -11,8 +11,8 @@
 from ..observe import Observer
 from ._fold import NO_CLAIM, StepFold
 from ._follower import TopicFollower, no_pause
-from ._item_shelf import ItemShelf
-from ._listing import ResultLister, Written
+from ._item_shelf import ItemStore
+from ._listing import ResultLister, WriteResult
 from ._ports import AppendOutcome, KeyedLog, LogEntry, PeerTexts
 from ._records import (
     FinishedItem,
@@ -28,26 +28,26 @@
     accepted_record,
     key_prefix,
     split_record,
-    writer_of,
+    writer_incarnation,
 )
-from ._texts import NO_PEERS, TextShelf, drop_prefix
+from ._texts import NO_PEERS, TextStore, drop_prefix
 
 STEP_TOPIC: Final = "keyed.steps"
 # A fold that was confirmed this recently needs no question to the log before it answers:
 # half of the time within which a listed result must be seen at every node.
-FRESH_S: Final = 0.9
+FRESH_WITHIN_S: Final = 0.9
 # How long an ended step stays readable at this node: what the platform asks, and more.
-KEEP_ENDED_S: Final = 180.0
+ENDED_STEP_RETENTION_S: Final = 180.0
 # A trainer that never ends its step is gone; no step is worked on for that long.
-KEEP_OPEN_S: Final = 3600.0
+OPEN_STEP_RETENTION_S: Final = 3600.0
 # Items whose answer was lost are written again so often before their step is refused: where they
 # stand must be known, and what stands there in vain is no step.
-ITEM_TRIES: Final = 3
+ITEM_WRITE_ATTEMPTS: Final = 3
 # Names of forgotten steps that are still to be dropped from the log.
-FORGOTTEN_KEPT: Final = 512
+MAX_FORGOTTEN_STEPS: Final = 512
 
 
-def always() -> bool:
+def always_true() -> bool:
     """Say yes."""
     return True
 
@@ -62,7 +62,7 @@
         observer: Observer,
         rng: random.Random,
         pause_s: Callable[[], float] = no_pause,
-        items_apart: Callable[[], bool] = always,
+        store_items_separately: Callable[[], bool] = always_true,
         peer_texts: PeerTexts = NO_PEERS,
     ) -> None:
         """Write as ``incarnation``; after news of the log pause for ``pause_s``.
@@ -75,19 +75,19 @@
         self._writer_id = f"{incarnation}{secrets.token_hex(2)}"
         self._next_key = 0
         self._observer = observer
-        self._words = observer.log("steps")
+        self._logger = observer.log("steps")
         self._assembler = RecordAssembler()
-        self._paced_s = pause_s
-        self._items_apart = items_apart
+        self._pause_between_reads_s = pause_s
+        self._store_items_separately = store_items_separately
         self._readers = 0
         self._follower = TopicFollower(
-            log, STEP_TOPIC, self._take, observer, rng, ordered=True, pause_s=self._pause_s
+            log, STEP_TOPIC, self._apply_entries, observer, rng, ordered=True, pause_s=self._pause_s
         )
         self._changed = asyncio.Event()
-        self.texts = TextShelf(log, self._writer_id, observer, peer_texts)
-        self._items = ItemShelf(self.texts)
+        self.texts = TextStore(log, self._writer_id, observer, peer_texts)
+        self._items = ItemStore(self.texts)
         self._lister = ResultLister(self.fold, self.texts, self._write_results, observer)
-        self.forgotten: deque[str] = deque(maxlen=FORGOTTEN_KEPT)
+        self.forgotten: deque[str] = deque(maxlen=MAX_FORGOTTEN_STEPS)
         self.last_write_at_s: dict[str, float] = {}
         self.claimed_at_s: dict[str, float] = {}
 
@@ -96,7 +96,7 @@
         """Whether the log was folded to its end at least once."""
         return self._follower.caught_up
 
-    def is_fresh(self, within_s: float = FRESH_S) -> bool:
+    def is_fresh(self, within_s: float = FRESH_WITHIN_S) -> bool:
         """Whether the fold was confirmed to be whole within the last ``within_s``."""
         return self._follower.age_s() <= within_s
 
@@ -114,7 +114,7 @@
         hold up the last result of a step for that pause.
         """
         self._readers += 1
-        self._follower.hurry()
+        self._follower.skip_pause()
         try:
             yield
         finally:
@@ -126,7 +126,7 @@
             await self.confirm(timeout_s)
 
     def _pause_s(self) -> float:
-        return 0.0 if self._readers else self._paced_s()
+        return 0.0 if self._readers else self._pause_between_reads_s()
 
     async def wait_for_change(self, timeout_s: float) -> None:
         """Wait until the fold changes, at most ``timeout_s``."""
@@ -141,19 +141,19 @@
         """Fold all that is in the log now; False when that is not known to have worked."""
         return await self._follower.confirm(timeout_s)
 
-    async def accept(self, request: StepRequest) -> Written:
+    async def accept(self, request: StepRequest) -> WriteResult:
         """Write a step down; APPENDED as soon as it is known to be kept.
 
         Items that stand apart go first: a step that is kept has them. Items that are kept
         without their step are none; they go when the step of that id is dropped.
         """
-        if not self._items_apart():
+        if not self._store_items_separately():
             return await self._write(accepted_record(request, None), request.step_id)
-        for _try in range(ITEM_TRIES):
+        for _attempt in range(ITEM_WRITE_ATTEMPTS):
             items_at = await self._items.write(request.step_id, request.items)
             if items_at is not None:
                 return await self._write(accepted_record(request, items_at), request.step_id)
-        return Written(AppendOutcome.NOT_APPENDED, "its items are not known to be kept")
+        return WriteResult(AppendOutcome.NOT_APPENDED, "its items are not known to be kept")
 
     async def read_items(self, step: StepAccepted) -> Mapping[str, ItemSpec]:
         """Return what the items of a step are made from, by id.
@@ -164,11 +164,11 @@
             return {item.item_id: item for item in step.items}
         return await self._items.read(step.items_at)
 
-    async def end(self, step_id: str) -> Written:
+    async def end(self, step_id: str) -> WriteResult:
         """Write down that a step is ended."""
         return await self._write(StepEnded(step_id), step_id)
 
-    async def claim(self, service: str, node_id: str, incarnation: str) -> Written:
+    async def claim(self, service: str, node_id: str, incarnation: str) -> WriteResult:
         """Claim a service for a node; the fold tells whether the claim counted."""
         held = self.fold.claims.get(service)
         replaces = held.offset if held is not None else NO_CLAIM
@@ -191,13 +191,13 @@
         """How many results wait to be listed."""
         return self._lister.waiting
 
-    async def _write_results(self, records: Sequence[ResultsListed]) -> Written:
+    async def _write_results(self, records: Sequence[ResultsListed]) -> WriteResult:
         return await self._write_all([(record, record.step_id) for record in records])
 
-    async def _write(self, record: Record, subject: str) -> Written:
+    async def _write(self, record: Record, subject: str) -> WriteResult:
         return await self._write_all([(record, subject)])
 
-    async def _write_all(self, records: Sequence[tuple[Record, str]]) -> Written:
+    async def _write_all(self, records: Sequence[tuple[Record, str]]) -> WriteResult:
         """Append records with their subjects, all or none of them."""
         entries = [
             entry
@@ -207,7 +207,7 @@
         result = await self._log.append(STEP_TOPIC, entries)
         if result.outcome is not AppendOutcome.APPENDED:
             for record, subject in records:
-                self._words.warning(
+                self._logger.warning(
                     "write=%s subject=%s outcome=%s detail=%s",
                     type(record).__name__,
                     subject,
@@ -216,36 +216,38 @@
                 )
         else:
             self._observer.counters["step_log_appends"] += 1
-        return Written(result.outcome, result.detail)
+        return WriteResult(result.outcome, result.detail)
 
     def _new_key(self, subject: str) -> str:
         self._next_key += 1
         return f"{key_prefix(subject)}/{self._writer_id}/{self._next_key}"
 
-    def _take(self, entries: Sequence[LogEntry], newest: bool) -> None:
+    def _apply_entries(self, entries: Sequence[LogEntry], newest: bool) -> None:
         now_s = asyncio.get_running_loop().time()
         for entry in entries:
             if not entry.value:
                 continue
-            self.last_write_at_s[writer_of(entry.key)] = now_s
+            self.last_write_at_s[writer_incarnation(entry.key)] = now_s
             try:
                 record = self._assembler.add(entry.key, entry.value)
             except RecordFormatError as error:
-                self._words.error("entry offset=%d not understood: %s", entry.offset, error)
+                self._logger.error("entry offset=%d not understood: %s", entry.offset, error)
                 continue
             if record is not None:
                 changed = self.fold.apply(record, entry.offset, now_s)
                 if changed and isinstance(record, RunnerClaimed) and not newest:
                     self.claimed_at_s[record.service] = now_s
                 self._count(record, changed=changed)
-                if self._wrote(entry.key):
+                if self._is_own_entry(entry.key):
                     self._log_record(record, entry.offset, changed=changed)
-        for step_id in self.fold.forget_before(now_s, KEEP_ENDED_S, KEEP_OPEN_S):
+        for step_id in self.fold.forget_before(
+            now_s, ENDED_STEP_RETENTION_S, OPEN_STEP_RETENTION_S
+        ):
             self.forgotten.append(step_id)
         changed_event, self._changed = self._changed, asyncio.Event()
         changed_event.set()
 
-    def _wrote(self, key: str) -> bool:
+    def _is_own_entry(self, key: str) -> bool:
         return f"/{self._writer_id}/" in key
 
     def _count(self, record: Record, *, changed: bool) -> None:
@@ -259,7 +261,7 @@
         """Tell what became of a record, at the node that wrote it: all others fold the same."""
         match record:
             case StepAccepted():
-                self._words.info(
+                self._logger.info(
                     "step=%s number=%d items=%d min_version=%d offset=%d new=%s",
                     record.step_id,
                     record.number,
@@ -269,9 +271,9 @@
                     changed,
                 )
             case StepEnded():
-                self._words.info("step=%s ended offset=%d new=%s", record.step_id, offset, changed)
+                self._logger.info("step=%s ended offset=%d new=%s", record.step_id, offset, changed)
             case RunnerClaimed():
-                self._words.info(
+                self._logger.info(
                     "service=%s runner=%s/%s offset=%d replaces=%d counts=%s",
                     record.service,
                     record.node_id,
--- a/samphirecleat/durable/_texts.py
+++ b/samphirecleat/durable/_texts.py
@@ -22,7 +22,7 @@
     join_blob,
     key_prefix,
     split_blob,
-    writer_of,
+    writer_incarnation,
 )
 
 # Each topic takes appends one at a time; several let the services' texts pass each other.
@@ -31,7 +31,7 @@
 CACHE_BYTES: Final = 4_000_000
 # Texts of one step stand together but for those of other steps in between; reading a few of
 # these too costs less than another call.
-SKIPPED_ENTRIES: Final = 3
+MAX_GAP_ENTRIES: Final = 3
 # A key and the lengths around an entry, for the size of a read.
 _ENTRY_OVERHEAD_BYTES: Final = 80
 
@@ -47,7 +47,7 @@
 NO_PEERS: Final = _NoPeers()
 
 
-class TextShelf:
+class TextStore:
     """Writes and reads texts; every node has one."""
 
     def __init__(
@@ -65,9 +65,9 @@
         self._peers = peers
         self._writer_id = writer_id
         self._observer = observer
-        self._words = observer.log("texts")
+        self._logger = observer.log("texts")
         self._next_key = 0
-        self._cached: OrderedDict[str, bytes] = OrderedDict()
+        self._cache_by_key: OrderedDict[str, bytes] = OrderedDict()
         self._cached_bytes = 0
 
     async def write(
@@ -94,12 +94,12 @@
             rows = split_blob(packed, key)
             refs[name] = TextRef(shard, len(entries), len(rows), key, len(packed), len(content))
             entries.extend(rows)
-            self._keep(key, packed)
+            self._cache(key, packed)
         if not entries:
             return refs
         result = await self._log.append(topic_of(shard), entries)
         if result.outcome is not AppendOutcome.APPENDED or result.offset < 0:
-            self._words.warning(
+            self._logger.warning(
                 "step=%s texts=%d outcome=%s detail=%s",
                 step_id,
                 len(refs),
@@ -122,41 +122,43 @@
         :raises LogUnavailableError: when one of them can't be had now.
         """
         # Taken first: keeping what is read may push these out.
-        found = {ref.key: self._cached[ref.key] for ref in refs if ref.key in self._cached}
+        found = {
+            ref.key: self._cache_by_key[ref.key] for ref in refs if ref.key in self._cache_by_key
+        }
         missing = sorted({ref for ref in refs if ref.key not in found})
         self._observer.counters["texts_cached"] += len(refs) - len(missing)
-        for run in _runs(missing):
-            found.update(await self._fetch_or_ask(run))
+        for group in _group_adjacent(missing):
+            found.update(await self._fetch_with_fallback(group))
         lost = [ref.key for ref in refs if ref.key not in found]
         if lost:
             raise LogUnavailableError(f"texts {lost[:3]} are not in the log")
         for key, packed in found.items():
-            self._keep(key, packed)
+            self._cache(key, packed)
         return {key: decompress(packed) for key, packed in found.items()}
 
     def cached(self, keys: Sequence[str]) -> Mapping[str, bytes]:
         """Return what this node has of some texts in memory, packed as written."""
-        return {key: self._cached[key] for key in keys if key in self._cached}
+        return {key: self._cache_by_key[key] for key in keys if key in self._cache_by_key}
 
-    async def _fetch_or_ask(self, run: Sequence[TextRef]) -> Mapping[str, bytes]:
+    async def _fetch_with_fallback(self, group: Sequence[TextRef]) -> Mapping[str, bytes]:
         """Return texts from the log, or from the nodes that wrote them while the log is away.
 
         A store that sheds its load refuses texts that are listed and whose writer still has them.
         """
         try:
-            return await self._fetch(run)
+            return await self._fetch_from_log(group)
         except LogUnavailableError as error:
-            found = await self._ask_writers(run)
-            if len(found) < len(run):
+            found = await self._fetch_from_writers(group)
+            if len(found) < len(group):
                 raise
             self._observer.counters["texts_from_peers"] += len(found)
-            self._words.info("texts=%d from their writers, the log: %s", len(found), error)
+            self._logger.info("texts=%d from their writers, the log: %s", len(found), error)
             return found
 
-    async def _ask_writers(self, run: Sequence[TextRef]) -> Mapping[str, bytes]:
+    async def _fetch_from_writers(self, group: Sequence[TextRef]) -> Mapping[str, bytes]:
         by_writer: dict[str, list[str]] = {}
-        for ref in run:
-            by_writer.setdefault(writer_of(ref.key), []).append(ref.key)
+        for ref in group:
+            by_writer.setdefault(writer_incarnation(ref.key), []).append(ref.key)
         found: dict[str, bytes] = {}
         for incarnation, keys in by_writer.items():
             found.update(await self._peers.fetch(incarnation, keys))
@@ -166,30 +168,30 @@
         """Drop every text of a step from the log; False if that is not known to be done."""
         return await drop_prefix(self._log, topic_of(shard_of(step_id)), key_prefix(step_id))
 
-    async def _fetch(self, run: Sequence[TextRef]) -> Mapping[str, bytes]:
+    async def _fetch_from_log(self, group: Sequence[TextRef]) -> Mapping[str, bytes]:
         """Return the packed texts of one stretch of the log."""
-        topic = topic_of(run[0].shard)
-        self._observer.counters["texts_fetched"] += len(run)
+        topic = topic_of(group[0].shard)
+        self._observer.counters["texts_fetched"] += len(group)
         try:
-            values = await self._read_stretch(topic, run)
+            values = await self._read_range(topic, group)
         except HistoryGoneError:
             # Only the newest of each key is kept for good, which is each of them.
-            values = await self._read_newest(topic, run)
+            values = await self._read_newest(topic, group)
         found = {}
-        for ref in run:
+        for ref in group:
             parts = [values.get(f"{ref.key}.{part}") for part in range(ref.entries)]
             if all(part is not None for part in parts):
                 found[ref.key] = join_blob([part for part in parts if part is not None])
         return found
 
-    async def _read_stretch(self, topic: str, run: Sequence[TextRef]) -> Mapping[str, bytes]:
-        end = run[-1].offset + run[-1].entries
-        at = run[0].offset
+    async def _read_range(self, topic: str, group: Sequence[TextRef]) -> Mapping[str, bytes]:
+        end = group[-1].offset + group[-1].entries
+        at = group[0].offset
         values: dict[str, bytes] = {}
         while at < end:
             wanted_bytes = sum(
                 ref.packed_bytes + ref.entries * _ENTRY_OVERHEAD_BYTES
-                for ref in run
+                for ref in group
                 if ref.offset + ref.entries > at
             )
             chunk = await self._log.read(topic, at, 0.0, max_bytes=wanted_bytes)
@@ -199,19 +201,19 @@
             at = chunk.entries[-1].offset + 1
         return values
 
-    async def _read_newest(self, topic: str, run: Sequence[TextRef]) -> Mapping[str, bytes]:
+    async def _read_newest(self, topic: str, group: Sequence[TextRef]) -> Mapping[str, bytes]:
         values: dict[str, bytes] = {}
-        for prefix in sorted({ref.key.partition("/")[0] for ref in run}):
+        for prefix in sorted({ref.key.partition("/")[0] for ref in group}):
             newest = await self._log.newest(topic, prefix)
             values.update({entry.key: entry.value for entry in newest.entries})
         return values
 
-    def _keep(self, key: str, packed: bytes) -> None:
-        known = self._cached.pop(key, b"")
-        self._cached[key] = packed
+    def _cache(self, key: str, packed: bytes) -> None:
+        known = self._cache_by_key.pop(key, b"")
+        self._cache_by_key[key] = packed
         self._cached_bytes += len(packed) - len(known)
         while self._cached_bytes > CACHE_BYTES:
-            _key, dropped = self._cached.popitem(last=False)
+            _key, dropped = self._cache_by_key.popitem(last=False)
             self._cached_bytes -= len(dropped)
 
     def _new_key(self, step_id: str) -> str:
@@ -241,14 +243,14 @@
     return result.outcome is AppendOutcome.APPENDED
 
 
-def _runs(refs: Iterable[TextRef]) -> Sequence[Sequence[TextRef]]:
+def _group_adjacent(refs: Iterable[TextRef]) -> Sequence[Sequence[TextRef]]:
     """Return sorted references in stretches that are worth one read each."""
     ordered = list(refs)
-    runs = [[ref] for ref in ordered[:1]]
+    groups = [[ref] for ref in ordered[:1]]
     for before, ref in pairwise(ordered):
         gap = ref.offset - before.offset - before.entries
-        if ref.shard == before.shard and gap <= SKIPPED_ENTRIES:
-            runs[-1].append(ref)
+        if ref.shard == before.shard and gap <= MAX_GAP_ENTRIES:
+            groups[-1].append(ref)
         else:
-            runs.append([ref])
-    return runs
+            groups.append([ref])
+    return groups
--- a/samphirecleat/durable/_weight_demand.py
+++ b/samphirecleat/durable/_weight_demand.py
@@ -6,19 +6,19 @@
 
 from ._fold import StepState
 from ._planner import Shortage
-from ._weight_orders import LEAST_READY, ModelDemand
+from ._weight_orders import MIN_READY_ENGINES, ModelDemand
 
 # A model's work is the largest of so many of its latest steps.
-STEPS_REMEMBERED: Final = 3
+RECENT_STEPS: Final = 3
 
 
-def allowed_lag(open_steps: Sequence[StepState], before: int) -> int:
+def allowed_lag(open_steps: Sequence[StepState], previous_lag: int) -> int:
     """Return by how many versions a step's oldest one is behind that of its asking.
 
     ``before`` is what was learned from earlier steps, and stands while none is open.
     """
     if not open_steps:
-        return before
+        return previous_lag
     newest = max((step.spec for step in open_steps), key=lambda spec: spec.number)
     # Step k is asked for at version k, or at 1 for the first ones.
     return max(0, max(1, newest.number) - newest.min_version)
@@ -26,12 +26,12 @@
 
 def engines_for(items: int, places: int) -> int:
     """Return how many engines of so many places a step of so many items fills."""
-    return max(LEAST_READY, math.ceil(items / max(1, places)))
+    return max(MIN_READY_ENGINES, math.ceil(items / max(1, places)))
 
 
 def engines_wanted(known_steps: Sequence[StepState], places: int) -> int:
     """Return how many engines of so many places a step of a model fills, by the latest ones."""
-    latest = sorted(known_steps, key=lambda step: step.folded_at_s)[-STEPS_REMEMBERED:]
+    latest = sorted(known_steps, key=lambda step: step.folded_at_s)[-RECENT_STEPS:]
     items = max((len(step.item_ids) for step in latest), default=0)
     return engines_for(items, places)
 
--- a/samphirecleat/durable/_weight_orders.py
+++ b/samphirecleat/durable/_weight_orders.py
@@ -18,9 +18,9 @@
 
 # Of the engines, this share may load at once. An engine that loads takes no new item of the model,
 # and every load beyond what the weight store serves at full pace holds up the most urgent one.
-SHARE_AT_ONCE: Final = 0.4
+MAX_LOADING_SHARE: Final = 0.4
 # With one engine lost the others still serve the next step at once.
-LEAST_READY: Final = 2
+MIN_READY_ENGINES: Final = 2
 
 
 class ModelDemand(NamedTuple):
@@ -54,7 +54,7 @@
     versions: Mapping[str, int]
     runs: Mapping[str, int]
     loading: str = ""
-    rests: bool = False
+    backing_off: bool = False
     slow: bool = False
 
 
@@ -69,11 +69,11 @@
     engines: Sequence[OrderableEngine], demands: Sequence[ModelDemand]
 ) -> Sequence[Load]:
     """Return the loads to order now, the most urgent first."""
-    free = loads_at_once(len(engines)) - sum(bool(engine.loading) for engine in engines)
+    free = max_concurrent_loads(len(engines)) - sum(bool(engine.loading) for engine in engines)
     views = {engine.instance: engine for engine in engines}
     loads: list[Load] = []
     while len(loads) < free:
-        choices = [_choose(list(views.values()), demand, demands) for demand in demands]
+        choices = [_next_load(list(views.values()), demand, demands) for demand in demands]
         due = [choice for choice in choices if choice is not None]
         if not due:
             break
@@ -83,20 +83,20 @@
     return loads
 
 
-def loads_at_once(engines: int) -> int:
+def max_concurrent_loads(engines: int) -> int:
     """Return how many of so many engines may load at once.
 
     Rounded to the nearest: a service that loses one of five engines would else load one at a
     time, and each version would come a load's time later at every further engine.
     """
-    return max(1, round(engines * SHARE_AT_ONCE))
+    return max(1, round(engines * MAX_LOADING_SHARE))
 
 
 # Lower comes first: the class, what orders within it, and the share of the engines ready.
 _Urgency = tuple[int, float, float]
 
 
-def _choose(
+def _next_load(
     engines: Sequence[OrderableEngine], demand: ModelDemand, demands: Sequence[ModelDemand]
 ) -> tuple[_Urgency, Load] | None:
     """Return a model's next load and how urgent it is, or None if it wants no load."""
@@ -113,20 +113,20 @@
     else:
         return None
     # While something can serve the open steps, their runs are not held up.
-    may_hold_up = demand.pressed or not usable
+    may_delay_runs = demand.pressed or not usable
     behind_version = demand.needed_version if ready_share >= 1.0 else demand.next_version
     candidates = [
         engine
         for engine in engines
         if not engine.loading
-        and not engine.rests
+        and not engine.backing_off
         and engine.versions.get(model, 0) < min(behind_version, demand.named_version)
         # Where items wait for places, a load would take some of them away.
         and not (demand.waits and engine.versions.get(model, 0) >= demand.needed_version)
         and (
             demand.keeps_runs
             or not engine.runs.get(model)
-            or (may_hold_up and engine.versions.get(model, 0) < demand.needed_version)
+            or (may_delay_runs and engine.versions.get(model, 0) < demand.needed_version)
         )
     ]
     if not candidates:
@@ -138,9 +138,9 @@
         others = sum(_has(engine, d.model, d.next_version) for d in demands if d.model != model)
         version = engine.versions.get(model, 0)
         runs = engine.runs.get(model, 0)
-        held_up = 0 if demand.keeps_runs else runs
+        delayed_runs = 0 if demand.keeps_runs else runs
         usable_now = version >= demand.needed_version
-        return (engine.slow, held_up, usable_now, others, version, runs, engine.instance)
+        return (engine.slow, delayed_runs, usable_now, others, version, runs, engine.instance)
 
     return urgency, Load(min(candidates, key=cost).instance, model)
 
--- a/tests/durable/memory_log.py
+++ b/tests/durable/memory_log.py
@@ -32,8 +32,8 @@
         self.appends = 0
         self.reads = 0
         self.trimmed_to = 0
-        self._late: list[tuple[Sequence[tuple[str, bytes]], int]] = []
-        self._news = asyncio.Event()
+        self._delayed_appends: list[tuple[Sequence[tuple[str, bytes]], int]] = []
+        self._appended = asyncio.Event()
         self.gate = asyncio.Event()
         self.gate.set()
 
@@ -54,10 +54,10 @@
         if from_offset < self.first_kept:
             raise HistoryGoneError(self.first_kept)
         if from_offset >= self.end and wait_s > 0.0:
-            news = self._news
+            appended = self._appended
             try:
                 async with asyncio.timeout(wait_s):
-                    await news.wait()
+                    await appended.wait()
             except TimeoutError:
                 pass
         if self.down:
@@ -78,7 +78,7 @@
         if self.down or answer == "refused":
             return AppendResult(AppendOutcome.NOT_APPENDED, detail="refused")
         if answer == "late":
-            self._late.append((entries, at))
+            self._delayed_appends.append((entries, at))
             return AppendResult(AppendOutcome.UNKNOWN, detail="no answer")
         result = self.do_append(entries, at)
         if answer == "lost":
@@ -93,17 +93,17 @@
         self.entries.extend(
             LogEntry(offset + number, key, value) for number, (key, value) in enumerate(entries)
         )
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+        appended, self._appended = self._appended, asyncio.Event()
+        appended.set()
         return AppendResult(AppendOutcome.APPENDED, offset)
 
     def catch_up(self) -> None:
         """Carry out the appends that are late."""
-        late, self._late = self._late, []
-        for entries, at in late:
+        delayed, self._delayed_appends = self._delayed_appends, []
+        for entries, at in delayed:
             self.do_append(entries, at)
 
-    def forget_history(self) -> None:
+    def compact(self) -> None:
         """Drop every record that is not the newest of its key from what can be read on."""
         self.first_kept = self.end
 
--- a/tests/durable/test_crash_records.py
+++ b/tests/durable/test_crash_records.py
@@ -9,7 +9,7 @@
 
 from samphirecleat.crashes import CrashLedger, RunEnd, Standing
 from samphirecleat.durable import CrashRecords
-from samphirecleat.durable._crash_records import CRASH_TOPIC, OTHERS_WAIT_S
+from samphirecleat.durable._crash_records import CRASH_TOPIC, OTHER_WRITERS_DELAY_S
 from samphirecleat.observe import Observer
 
 from ..fleets import until
@@ -45,7 +45,7 @@
             await self.task
 
 
-def play(body: Callable[[MemoryLog, list[Node]], Awaitable[None]], nodes: int = 2) -> None:
+def run_fleet(body: Callable[[MemoryLog, list[Node]], Awaitable[None]], nodes: int = 2) -> None:
     async def main() -> None:
         log = MemoryLog()
         fleet = [Node(log, seed) for seed in range(nodes)]
@@ -77,7 +77,7 @@
         await until(lambda: fleet[0].records.caught_up)
         assert fleet[0].standing() is Standing.REFUSED
 
-    play(body)
+    run_fleet(body)
 
 
 def test_ends_that_refused_nothing_yet_are_counted_after_a_restart_with_the_next_one() -> None:
@@ -91,7 +91,7 @@
         fleet[1].end_runs("a", "b", "c")
         assert fleet[1].standing() is Standing.REFUSED
 
-    play(body)
+    run_fleet(body)
 
 
 def test_one_end_is_not_written_and_several_are_written_once_by_all_nodes() -> None:
@@ -106,10 +106,10 @@
             node.ledger.note_end(CALL, RunEnd("b", 1.0, 2.0, "n"), 2.0)
             node.records.record(CALL, own=number == 0)
         await until(lambda: appends(log) == 1)
-        await asyncio.sleep(OTHERS_WAIT_S + 0.3)
+        await asyncio.sleep(OTHER_WRITERS_DELAY_S + 0.3)
         assert appends(log) == 1
 
-    play(body, nodes=5)
+    run_fleet(body, nodes=5)
 
 
 def test_a_record_whose_writers_are_lost_is_written_by_another_node() -> None:
@@ -119,7 +119,7 @@
         fleet[0].records.record(CALL, own=False)
         await until(lambda: CALL in fleet[1].ledger.suspects)
 
-    play(body)
+    run_fleet(body)
 
 
 def test_a_log_that_takes_nothing_is_asked_less_and_less_often() -> None:
@@ -129,7 +129,7 @@
         await asyncio.sleep(1.6)
         assert 2 <= appends(log) <= 5
 
-    play(body)
+    run_fleet(body)
 
 
 @pytest.mark.parametrize("answer", ["refused", "lost", "late"])
@@ -140,7 +140,7 @@
         await until(lambda: len(fleet[1].ledger.suspects) == 1)
         assert set(fleet[1].ledger.suspects[CALL].ends) == {"a", "b"}
 
-    play(body)
+    run_fleet(body)
 
 
 def test_an_answer_drops_the_record_everywhere() -> None:
@@ -152,7 +152,7 @@
         await until(lambda: not fleet[1].ledger.suspects)
         assert (await log.newest(CRASH_TOPIC)).entries == []
 
-    play(body)
+    run_fleet(body)
 
 
 def test_a_record_that_is_none_is_passed_over() -> None:
@@ -161,4 +161,4 @@
         fleet[0].end_runs("a", "b")
         await until(lambda: CALL in fleet[1].ledger.suspects)
 
-    play(body)
+    run_fleet(body)
--- a/tests/durable/test_item_shelf.py
+++ b/tests/durable/test_item_shelf.py
@@ -15,7 +15,7 @@
     StepRequest,
 )
 from samphirecleat.durable._records import encode_record
-from samphirecleat.durable._step_log import ITEM_TRIES
+from samphirecleat.durable._step_log import ITEM_WRITE_ATTEMPTS
 from samphirecleat.durable._texts import shard_of, topic_of
 from samphirecleat.errors import ErrorKind, Ran, RequestError
 from samphirecleat.observe import Observer
@@ -81,7 +81,7 @@
         async with following(log) as step_log:
             await until(lambda: step_log.caught_up)
             topic = log.topics[topic_of(shard_of("s1"))]
-            topic.answers = [answer] * ITEM_TRIES
+            topic.answers = [answer] * ITEM_WRITE_ATTEMPTS
             with pytest.raises(RequestError) as raised:
                 await StepAccess(step_log).submit(step("s1"))
             assert raised.value.ran is Ran.NO
@@ -118,14 +118,14 @@
 
     One that did not ask again would leave the step standing until its trainer gives up.
     """
-    tries: list[int] = []
+    attempts: list[int] = []
 
     async def body(stage: RunnerStage) -> None:
         read = stage.step_log.read_items
 
         async def fail_twice(spec: StepAccepted) -> Mapping[str, ItemSpec]:
-            tries.append(1)
-            if len(tries) <= 2:
+            attempts.append(1)
+            if len(attempts) <= 2:
                 raise LogUnavailableError("away")
             return await read(spec)
 
@@ -134,7 +134,7 @@
         await stage.listed(2)
 
     play(["e1"], body)
-    assert len(tries) == 3
+    assert len(attempts) == 3
 
 
 def test_a_small_fleet_needs_one_append_for_a_step() -> None:
@@ -143,7 +143,7 @@
     async def body() -> None:
         log = MemoryLog()
         small = StepLog(
-            log, "inc00001", Observer("n1"), random.Random(1), items_apart=lambda: False
+            log, "inc00001", Observer("n1"), random.Random(1), store_items_separately=lambda: False
         )
         task = asyncio.ensure_future(small.run())
         await until(lambda: small.caught_up)
--- a/tests/durable/test_listing.py
+++ b/tests/durable/test_listing.py
@@ -24,7 +24,7 @@
     A result that named a text which is not there could be read by nobody, and its trainer
     would wait for it until the step's end.
     """
-    monkeypatch.setattr(listing_module, "RELIST_S", 0.01)
+    monkeypatch.setattr(listing_module, "RETRY_DELAY_S", 0.01)
 
     async def body() -> None:
         log = MemoryLog()
@@ -38,8 +38,8 @@
                 step_log.list_result(finished("s1", f"s1-{number}", f"text {number}"))
             await until(lambda: step_log.unlisted == 0)
             topic.catch_up()
-            log.forget_history()
-            topic.forget_history()
+            log.compact()
+            topic.compact()
             async with following(log, "inc00002") as cold:
                 await until(lambda: cold.caught_up)
                 page = await StepAccess(cold).read("s1", 0, 0.0)
@@ -52,7 +52,7 @@
 def test_a_text_that_is_written_is_not_written_again_when_its_listing_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listing_module, "RELIST_S", 0.01)
+    monkeypatch.setattr(listing_module, "RETRY_DELAY_S", 0.01)
 
     async def body() -> None:
         log = MemoryLog()
--- a/tests/durable/test_orderer.py
+++ b/tests/durable/test_orderer.py
@@ -98,7 +98,7 @@
     )  # fmt: skip
 
 
-def drive(orderer: Orderer, condition: Callable[[], bool], then_s: float = 0.0) -> None:
+def run_orderer(orderer: Orderer, condition: Callable[[], bool], then_s: float = 0.0) -> None:
     async def body() -> None:
         task = asyncio.ensure_future(orderer.run())
         await until(condition)
@@ -111,14 +111,20 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("LOOK_EVERY_S", "FIRST_LOOK_S", "NEXT_LOOK_S", "UNKNOWN_REST_S", "REFUSED_REST_S"):
+    for name in (
+        "POLL_INTERVAL_S",
+        "FIRST_LOAD_CHECK_S",
+        "LOAD_CHECK_INTERVAL_S",
+        "UNKNOWN_OUTCOME_DELAY_S",
+        "REJECTED_BACKOFF_S",
+    ):
         monkeypatch.setattr(f"samphirecleat.durable._orderer.{name}", 0.01)
     monkeypatch.setattr("samphirecleat.durable._orderer.ORDER_TIMEOUT_S", 0.05)
 
 
 def test_every_engine_is_ordered_once_under_the_claims_number() -> None:
     engines = FakeEngines()
-    drive(make_orderer(engines), lambda: len(engines.versions) == 3, 0.1)
+    run_orderer(make_orderer(engines), lambda: len(engines.versions) == 3, 0.1)
     assert sorted(name for name, _ in engines.orders) == ["e1", "e2", "e3"]
     assert {order.fencing_number for _, order in engines.orders} == {41}
 
@@ -131,7 +137,7 @@
     """
     engines = FakeEngines()
     engines.answers = [OrderOutcome.UNKNOWN]
-    drive(make_orderer(engines), lambda: len(engines.versions) == 3)
+    run_orderer(make_orderer(engines), lambda: len(engines.versions) == 3)
     first = engines.orders[0][0]
     same = [order.expected_orders for name, order in engines.orders if name == first]
     assert same == [0, 0]
@@ -144,7 +150,7 @@
     """
     engines = FakeEngines()
     engines.answers = [OrderOutcome.FENCED] * 9
-    drive(make_orderer(engines), lambda: bool(engines.orders), 0.2)
+    run_orderer(make_orderer(engines), lambda: bool(engines.orders), 0.2)
     assert len(engines.orders) <= 2
 
 
@@ -153,7 +159,7 @@
     engines = FakeEngines()
     confirmed: list[bool] = []
     orderer = make_orderer(engines, may_order=lambda _s: bool(confirmed.append(True)))
-    drive(orderer, lambda: len(confirmed) > 5)
+    run_orderer(orderer, lambda: len(confirmed) > 5)
     assert engines.orders == []
 
 
@@ -184,5 +190,5 @@
     ready for them.
     """
     engines, work = FakeEngines(), FakeWork()
-    drive(make_orderer(engines, work), lambda: len(work.noted) == 3 and not work.loading)
+    run_orderer(make_orderer(engines, work), lambda: len(work.noted) == 3 and not work.loading)
     assert set(work.noted.values()) == {2}
--- a/tests/durable/test_retention.py
+++ b/tests/durable/test_retention.py
@@ -38,8 +38,8 @@
 
     When it is full it takes no appends, and every trainer's step is refused.
     """
-    monkeypatch.setattr(step_log_module, "KEEP_ENDED_S", 0.0)
-    monkeypatch.setattr(retention_module, "SWEEP_EVERY_S", 0.02)
+    monkeypatch.setattr(step_log_module, "ENDED_STEP_RETENTION_S", 0.0)
+    monkeypatch.setattr(retention_module, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
         log = MemoryLog()
@@ -65,7 +65,7 @@
             await until(lambda: cold.caught_up)
             page = await StepAccess(cold).read("open", 0, 0.0)
             assert [row.text for row in page.results] == ["a text"]
-        log.forget_history()
+        log.compact()
         async with following(log, "inc00003") as cold:
             await until(lambda: cold.caught_up)
             with pytest.raises(RequestError) as raised:
--- a/tests/durable/test_step_log.py
+++ b/tests/durable/test_step_log.py
@@ -60,7 +60,7 @@
 def test_not_kept_is_only_promised_where_it_is_sure(
     answer: str, kind: ErrorKind, ran: Ran, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("samphirecleat.durable._access.SETTLE_WITHIN_S", 0.2)
+    monkeypatch.setattr("samphirecleat.durable._access.UNKNOWN_APPEND_TIMEOUT_S", 0.2)
 
     async def body() -> None:
         log = MemoryLog()
@@ -93,7 +93,7 @@
             step_log.list_result(finished("s1", "s1-0"))
             await until(lambda: len(step_log.fold.steps["s1"].results) == 2)
             await until(lambda: step_log.unlisted == 0)
-            log.forget_history()
+            log.compact()
             async with following(log, "inc00002") as cold:
                 await until(lambda: cold.caught_up)
                 for node in (step_log, cold):
@@ -133,7 +133,7 @@
             log.down = False
             other = StepLog(log, "inc00002", Observer("n2"), random.Random(2))
             await other.accept(step("s1"))
-            log.forget_history()
+            log.compact()
             await until(lambda: "s1" in step_log.fold.steps)
 
     run(body)
--- a/tests/durable/test_texts.py
+++ b/tests/durable/test_texts.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from samphirecleat.durable import LogUnavailableError, TextRef, TextShelf
+from samphirecleat.durable import LogUnavailableError, TextRef, TextStore
 from samphirecleat.durable import _texts as texts_module
 from samphirecleat.observe import Observer
 
@@ -14,8 +14,8 @@
 from .test_records import noise
 
 
-def shelf_of(log: MemoryLog, writer_id: str = "w1") -> TextShelf:
-    return TextShelf(log, writer_id, Observer("n1"))
+def shelf_of(log: MemoryLog, writer_id: str = "w1") -> TextStore:
+    return TextStore(log, writer_id, Observer("n1"))
 
 
 def topic_of(log: MemoryLog, step_id: str) -> MemoryTopic:
@@ -26,7 +26,7 @@
     asyncio.run(body())  # type: ignore[arg-type]
 
 
-async def written(shelf: TextShelf, step_id: str, **texts: str) -> dict[str, TextRef]:
+async def written(shelf: TextStore, step_id: str, **texts: str) -> dict[str, TextRef]:
     refs = await shelf.write(step_id, [finished(step_id, n, t) for n, t in texts.items()])
     assert refs is not None
     return dict(refs)
@@ -48,7 +48,7 @@
         await written(shelf_of(log, "w2"), "s1", d="of another writer")
         more = await written(shelf_of(log, "w3"), "s1", e="later")
         if forgotten:
-            topic_of(log, "s1").forget_history()
+            topic_of(log, "s1").compact()
         wanted = [*refs.values(), more["e"]]
         read = await shelf_of(log, "w4").read(wanted)
         assert [read[ref.key] for ref in wanted] == [*texts.values(), "later"]
@@ -86,7 +86,7 @@
         assert len(topic.entries) == kept
         refs = await written(shelf, "s1", a="second")
         topic.catch_up()
-        topic.forget_history()
+        topic.compact()
         assert await shelf_of(log, "w2").read([refs["a"]]) == {refs["a"].key: "second"}
 
     run(body)
@@ -119,7 +119,7 @@
         for number in range(20):
             refs.update(await written(shelf, "s1", **{f"i{number}": f"text {number}"}))
         assert 0 < shelf._cached_bytes <= 200
-        assert sum(len(packed) for packed in shelf._cached.values()) == shelf._cached_bytes
+        assert sum(len(packed) for packed in shelf._cache_by_key.values()) == shelf._cached_bytes
         read = await shelf.read(list(refs.values()))
         assert [read[ref.key] for ref in refs.values()] == [f"text {n}" for n in range(20)]
 
@@ -135,7 +135,7 @@
         assert await shelf.drop("s1")
         assert not (await topic_of(log, "s1").newest(texts_module.key_prefix("s1"))).entries
         for topic in log.topics.values():
-            topic.forget_history()
+            topic.compact()
         reader = shelf_of(log, "w2")
         for name, refs in others.items():
             assert await reader.read(list(refs.values())) == {refs["a"].key: name}
@@ -146,7 +146,7 @@
 class FakePeers:
     """Other nodes' shelves by incarnation."""
 
-    def __init__(self, shelves: dict[str, TextShelf]) -> None:
+    def __init__(self, shelves: dict[str, TextStore]) -> None:
         self.shelves = shelves
 
     async def fetch(self, incarnation: str, keys: Sequence[str]) -> Mapping[str, bytes]:
@@ -162,12 +162,12 @@
         writer = shelf_of(log, "inc00001ab")
         refs = await written(writer, "s1", a="text a", b="text b")
         peers = FakePeers({"inc00001": writer})
-        reader = TextShelf(log, "inc00002cd", Observer("n2"), peers)
+        reader = TextStore(log, "inc00002cd", Observer("n2"), peers)
         log.down = True
         topic_of(log, "s1").down = True
         read = await reader.read(list(refs.values()))
         assert sorted(read.values()) == ["text a", "text b"]
-        stranger = TextShelf(log, "inc00003ef", Observer("n3"), FakePeers({}))
+        stranger = TextStore(log, "inc00003ef", Observer("n3"), FakePeers({}))
         with pytest.raises(LogUnavailableError):
             await stranger.read(list(refs.values()))
 
--- a/tests/durable/test_weight_orders.py
+++ b/tests/durable/test_weight_orders.py
@@ -9,14 +9,14 @@
     ModelDemand,
     OrderableEngine,
     decide_loads,
-    loads_at_once,
+    max_concurrent_loads,
 )
 
 
 def engine(
-    name: str, version: int, running: int = 0, *, loading: str = "", rests: bool = False
+    name: str, version: int, running: int = 0, *, loading: str = "", backing_off: bool = False
 ) -> OrderableEngine:
-    return OrderableEngine(name, {"m": version}, {"m": running}, loading, rests)
+    return OrderableEngine(name, {"m": version}, {"m": running}, loading, backing_off)
 
 
 def demand(
@@ -93,7 +93,7 @@
             False,
             ["b"],
         ),
-        ([engine("a", 1, rests=True), engine("b", 3), engine("c", 3)], False, []),
+        ([engine("a", 1, backing_off=True), engine("b", 3), engine("c", 3)], False, []),
         ([engine("a", 3), engine("b", 3)], False, []),
     ],
     ids=[
@@ -215,4 +215,4 @@
     With one load at a time the last of them has it after four seconds, and the items of the
     step that wants it wait beside engines that stand idle.
     """
-    assert loads_at_once(engines) == want
+    assert max_concurrent_loads(engines) == want
