--- a/samphirecleat/bench/_crashes.py
+++ b/samphirecleat/bench/_crashes.py
@@ -17,7 +17,7 @@
 from ..crashes import FREE_ENDS, CrashLedger, CrashNews, RunEnd, Standing
 from ..crashes._call_mark import MARK_BYTES
 from ..durable import reading_pause_s
-from ..durable._crash_records import LEAST_ENDS
+from ..durable._crash_records import MIN_RECORDED_ENDS
 from ..peers import HeartbeatCodec, MemberRow, Message, MessageKind
 from ._harness import BenchResult, BenchRow, average_runs
 
@@ -65,7 +65,7 @@
 
 
 WAYS: Final = (
-    Way("heartbeats and log", heartbeats=True, log_from=LEAST_ENDS),
+    Way("heartbeats and log", heartbeats=True, log_from=MIN_RECORDED_ENDS),
     Way("heartbeats", heartbeats=True),
     Way("log", log_from=1),
     Way("asking peers", asks=True),
--- a/samphirecleat/durable/_crash_records.py
+++ b/samphirecleat/durable/_crash_records.py
@@ -21,7 +21,7 @@
 CRASH_TOPIC: Final = "keyed.crashes"
 # A call is written down from its second end on: nearly every call that loses one target is
 # innocent, and a third end would be the first that is one too many.
-LEAST_ENDS: Final = 2
+MIN_RECORDED_ENDS: Final = 2
 READ_WAIT_S: Final = 10.0
 # Appends of one node are this far apart.
 APPEND_INTERVAL_S: Final = 0.05
@@ -102,7 +102,7 @@
         written = self._written.get(mark)
         if suspect is None or not suspect.ends:
             return written is not None
-        if not suspect.refused and len(suspect.ends) < LEAST_ENDS:
+        if not suspect.refused and len(suspect.ends) < MIN_RECORDED_ENDS:
             return False
         if written is None or (suspect.refused and not written.refused):
             return True
