--- a/samphirecleat/durable/__init__.py
+++ b/samphirecleat/durable/__init__.py
@@ -1,4 +1,7 @@
-"""Steps that are kept through the loss of every node: log, fold, runner, weights."""
+"""Durable steps: the replicated step log, its fold, and the runner that executes the steps.
+
+An accepted step survives the loss of every node, because its state is rebuilt from the log.
+"""
 
 from ._access import ListedResult, StepAccess, StepPage
 from ._crash_records import CrashRecords
--- a/samphirecleat/durable/_access.py
+++ b/samphirecleat/durable/_access.py
@@ -1,7 +1,7 @@
-"""What trainers ask about steps, answered by any node from its fold of the step log.
+"""Serves trainers' requests for steps at any node, from its fold of the step log.
 
-A node says only what it is sure of: that a step is kept once the log has it, that one does
-not exist once it has folded the log to an end that is younger than the question.
+A node gives definite responses only: a step is reported as accepted once the log contains it,
+and as unknown once the node has folded the log to an end confirmed after the request arrived.
 """
 
 import asyncio
@@ -14,28 +14,28 @@
 from ._records import ItemListed, StepRequest
 from ._step_log import StepLog
 
-# How long a question may wait for the log to confirm an answer.
+# How long a request waits until the log confirms that the fold is up to date.
 CONFIRM_TIMEOUT_S: Final = 1.0
-# A reader gets what is known when the log does not say within this that there is more.
+# A read returns the results known so far if the log does not return more within this time.
 CATCH_UP_TIMEOUT_S: Final = 0.2
-# After an append without an answer, how long to look for it in the log before saying so.
+# How long to look for a record in the log after its append got no response.
 UNKNOWN_APPEND_TIMEOUT_S: Final = 1.5
 RETRY_AFTER_S: Final = 0.3
-# How long an answer waits for the texts of its results.
+# How long a response waits for the texts of its results.
 TEXT_READ_TIMEOUT_S: Final = 1.0
-# One answer holds results of about this size, and at least one.
+# Approximate size of the results in one response, which holds at least one.
 RESPONSE_BYTES: Final = 800_000
 
 
 class ListedResult(NamedTuple):
-    """A result with its text, "" for an item that was given up."""
+    """A result with its text, "" for an abandoned item."""
 
     item: ItemListed
     text: str
 
 
 class StepPage(NamedTuple):
-    """Some results of a step, from a position on."""
+    """Consecutive results of a step, starting at the requested position."""
 
     total: int
     results: Sequence[ListedResult]
@@ -46,14 +46,14 @@
     """Accepts, reads and ends steps at one node."""
 
     def __init__(self, step_log: StepLog) -> None:
-        """Answer from ``step_log``."""
+        """Serve requests from ``step_log``."""
         self._step_log = step_log
 
     async def submit(self, request: StepRequest) -> None:
-        """Return once the step is kept, however often it is submitted.
+        """Return once the step is stored; idempotent.
 
-        :raises RequestError: when it is not; ``ran`` is NO only if this submission will
-            never be kept.
+        :raises RequestError: when it is not known to be stored; ``ran`` is NO only if this
+            submission will never be stored.
         """
         if self._is_accepted(request):
             return
@@ -70,32 +70,34 @@
                     return
                 raise RequestError(
                     ErrorKind.NOT_READY,
-                    f"the log takes nothing: {written.detail}",
+                    f"the step log did not accept the step: {written.detail}",
                     ran=Ran.NO,
                     retry_after_s=RETRY_AFTER_S,
                 )
 
     def _is_accepted(self, request: StepRequest) -> bool:
-        """Whether a step of that id is kept already.
+        """Whether a step of that ID is already stored.
 
-        :raises RequestError: when it is another workspace's.
+        :raises RequestError: when it belongs to another workspace.
         """
         step = self._step_log.fold.steps.get(request.step_id)
         if step is None:
             return False
         if step.spec.workspace != request.workspace:
-            raise RequestError(ErrorKind.STEP_CONFLICT, f"{request.step_id}: use another id")
+            raise RequestError(
+                ErrorKind.STEP_CONFLICT, f"step ID {request.step_id} is taken; use another one"
+            )
         return True
 
     async def read(self, step_id: str, after: int, wait_s: float, workspace: str = "") -> StepPage:
-        """Return the results from position ``after`` on, waiting for a first one.
+        """Return the results from position ``after``, waiting ``wait_s`` seconds for the first.
 
-        :raises RequestError: when the step does not exist, or this node can't be sure.
+        :raises RequestError: when the step does not exist, or this node cannot tell.
         """
         loop = asyncio.get_running_loop()
         step = await self._find_step(step_id, workspace)
         known = len(step.results)
-        # A reader that saw more at another node is ahead of this one, which can catch up.
+        # The reader may have read more results at another node; catch up with the log first.
         if known < after or (known == after and not self._step_log.is_fresh()):
             await self._step_log.confirm(CONFIRM_TIMEOUT_S)
         else:
@@ -108,21 +110,21 @@
                     break
                 await self._step_log.wait_for_change(left_s)
         if len(step.results) < after:
-            # The reader saw more elsewhere than this node knows.
-            raise _not_ready("this node is behind")
+            # The reader has seen more results at another node than this one has folded.
+            raise _not_ready("this node lags behind the step log")
         chosen = _select_page(step, after)
         try:
             async with asyncio.timeout(TEXT_READ_TIMEOUT_S):
                 texts = await self._step_log.texts.read([r.text for r in chosen if r.text])
         except (LogUnavailableError, TimeoutError) as error:
-            raise _not_ready(f"texts can't be read now: {error!r}") from error
+            raise _not_ready(f"texts cannot be read now: {error!r}") from error
         rows = [ListedResult(r, texts[r.text.key] if r.text else "") for r in chosen]
         return StepPage(len(step.item_ids), rows, after + len(rows))
 
     async def body(self, step_id: str, item_id: str, workspace: str = "") -> bytes | None:
-        """Return the body of an item, or None if there is none to give.
+        """Return the request body of an item, or None if the step has no such item.
 
-        :raises RequestError: when the step does not exist, or this node can't be sure.
+        :raises RequestError: when the step does not exist, or this node cannot tell.
         """
         step = await self._find_step(step_id, workspace)
         if item_id not in step.item_ids:
@@ -131,13 +133,13 @@
             async with asyncio.timeout(TEXT_READ_TIMEOUT_S):
                 items = step.items or await self._step_log.read_items(step.spec)
         except (LogUnavailableError, TimeoutError) as error:
-            raise _not_ready(f"items can't be read now: {error!r}") from error
+            raise _not_ready(f"items cannot be read now: {error!r}") from error
         return items[item_id].body
 
     async def end(self, step_id: str, workspace: str = "") -> None:
-        """Return once the step's end is kept, however often it is ended.
+        """Return once the end of the step is stored; idempotent.
 
-        :raises RequestError: when the step does not exist, or the end may not be kept.
+        :raises RequestError: when the step does not exist, or its end is not known to be stored.
         """
         step = await self._find_step(step_id, workspace)
         if step.ended:
@@ -147,21 +149,21 @@
             return
         if written.outcome is AppendOutcome.UNKNOWN and await self._wait_until_ended(step_id):
             return
-        raise _not_ready(f"the end is not written: {written.detail}")
+        raise _not_ready(f"the end of the step could not be stored: {written.detail}")
 
     async def _find_step(self, step_id: str, workspace: str) -> StepState:
-        """Return a step of a workspace; another's can't be told from one that does not exist."""
+        """Return a step of a workspace; steps of other workspaces are reported as unknown."""
         step = self._step_log.fold.steps.get(step_id)
         if step is None:
             if not await self._step_log.confirm(CONFIRM_TIMEOUT_S):
-                raise _not_ready("the log can't be asked")
+                raise _not_ready("the step log is unavailable")
             step = self._step_log.fold.steps.get(step_id)
         if step is None or step.spec.workspace != workspace:
             raise RequestError(ErrorKind.UNKNOWN_STEP, f"no step {step_id}")
         return step
 
     async def _wait_until_accepted(self, step_id: str) -> bool:
-        """Whether a step turns up in the log after its append got no answer."""
+        """Wait until a step appears in the log; return False if it does not in time."""
         until_s = asyncio.get_running_loop().time() + UNKNOWN_APPEND_TIMEOUT_S
         while asyncio.get_running_loop().time() < until_s:
             if step_id in self._step_log.fold.steps:
@@ -170,6 +172,7 @@
         return step_id in self._step_log.fold.steps
 
     async def _wait_until_ended(self, step_id: str) -> bool:
+        """Wait until the end of a step appears in the log; return False if it does not in time."""
         until_s = asyncio.get_running_loop().time() + UNKNOWN_APPEND_TIMEOUT_S
         step = self._step_log.fold.steps.get(step_id)
         while asyncio.get_running_loop().time() < until_s:
@@ -180,7 +183,7 @@
 
 
 def _select_page(step: StepState, after: int) -> Sequence[ItemListed]:
-    """Return the results from a position on that one answer has room for."""
+    """Return the results from a position that fit into one response."""
     results: list[ItemListed] = []
     size_bytes = 0
     for result in step.results[after:]:
--- a/samphirecleat/durable/_fold.py
+++ b/samphirecleat/durable/_fold.py
@@ -1,10 +1,9 @@
-"""The only truth about steps: the fold of the step log in offset order.
+"""The authoritative state of all steps: the fold of the step log in offset order.
 
-The first acceptance of a step counts, the first result of an item counts and takes the
-next position, and a claim that replaces the one in force names a service's runner. Two
-writers at once, a record that takes effect late, or one that is sent twice can so neither
-double an item nor move a position, and every node that folded the same records knows the
-same.
+The first acceptance of a step and the first result of an item are valid, and a result takes the
+next position. A claim is valid if it replaces the one in force; it determines the runner of a
+service. Concurrent writers, delayed appends and repeated appends can therefore neither duplicate
+an item nor move a position, and all nodes that folded the same records have the same state.
 """
 
 from collections.abc import Mapping, Sequence, Set
@@ -25,9 +24,9 @@
 
 
 class Claim(NamedTuple):
-    """Who runs a service's work; ``offset`` is the fencing number.
+    """The node that runs the work of a service; ``offset`` is the fencing token.
 
-    ``previous_node_id`` is the node that held it before, an empty text for the first claim.
+    ``previous_node_id`` is the node that held the service before, "" for the first claim.
     """
 
     node_id: str
@@ -38,11 +37,12 @@
 
 @dataclass
 class StepState:
-    """One step as folded so far.
+    """The state of one step as folded so far.
 
-    ``carried`` holds the items that an earlier step had too. ``unlisted`` shrinks as results
-    come, so that who plans a step's rest does not look at all of it many times a second; it
-    keeps the order of the items. Where they stand apart ``items`` is empty until they are read.
+    ``carried`` holds the items that an earlier step also contained. ``unlisted`` keeps the items
+    without a result in their order; it shrinks as results arrive, so that the planner does not
+    scan the whole step many times per second. If the items are stored separately, ``items`` is
+    empty until they have been read.
     """
 
     spec: StepAccepted
@@ -59,17 +59,17 @@
 
     @property
     def open(self) -> bool:
-        """Whether the step still wants results."""
+        """Whether the step still waits for results."""
         return not self.ended and bool(self.unlisted)
 
     def set_items(self, items: Mapping[str, ItemSpec]) -> None:
-        """Keep what the items are made from."""
+        """Set the item specifications, by item ID."""
         self.items = items
         self.group_count = len({item.group for item in items.values()})
 
 
 class StepFold:
-    """All steps and claims, from the records in offset order."""
+    """All steps and claims, folded from records in offset order."""
 
     def __init__(self) -> None:
         """Start from an empty log."""
@@ -77,7 +77,7 @@
         self.claims: dict[str, Claim] = {}
 
     def apply(self, record: Record, offset: int, now_s: float) -> bool:
-        """Take the next record; False when it changes nothing."""
+        """Apply the next record; return False if it has no effect."""
         match record:
             case StepAccepted():
                 return self._accept(record, offset, now_s)
@@ -95,7 +95,7 @@
                 return True
 
     def forget_before(self, now_s: float, keep_ended_s: float, keep_open_s: float) -> Sequence[str]:
-        """Drop steps that ended, or were folded, that long ago, and return their ids."""
+        """Forget steps that ended or were folded longer ago than given; return their IDs."""
         old = [
             step_id
             for step_id, step in self.steps.items()
@@ -120,7 +120,7 @@
         return True
 
     def _list(self, record: ResultsListed) -> int:
-        """Take results; return how many of them count."""
+        """Apply results; return how many of them are new."""
         step = self.steps.get(record.step_id)
         if step is None or step.ended:
             return 0
--- a/samphirecleat/durable/_follower.py
+++ b/samphirecleat/durable/_follower.py
@@ -1,4 +1,4 @@
-"""Follows one keyed topic: the newest of each key first, then every entry in order."""
+"""Follows one keyed topic: first the newest entry of each key, then every new entry in order."""
 
 import asyncio
 import random
@@ -9,26 +9,26 @@
 from ..observe import Observer
 from ._ports import HistoryGoneError, KeyedLog, LogEntry, LogUnavailableError
 
-# One read waits this long for news. It bounds how long a reader takes to see that a
-# connection went silent, and how old a confirmed end can be.
+# Long-poll timeout of a read. It bounds the time to detect a stalled connection and the age of
+# a confirmed end offset.
 READ_WAIT_S: Final = 0.5
-# Between failed reads, so that a store that is down is not called in a tight loop.
+# Random delay after a failed read, so that an unavailable store is not called in a tight loop.
 RETRY_DELAY_RANGE_S: Final = (0.05, 0.15)
 
 Sink = Callable[[Sequence[LogEntry], bool], None]
-"""Takes entries in offset order; the flag says that they were there before the follower was.
+"""Receives entries in offset order; the flag tells that they predate the follower.
 
-For a sink that is not ordered they are then the newest of every key, and all of them.
+For a sink that is not ordered, flagged entries are a full snapshot: the newest of every key.
 """
 
 
 def no_pause() -> float:
-    """Read on at once."""
+    """Return a pause of 0 seconds."""
     return 0.0
 
 
 class TopicFollower:
-    """Hands a topic's entries to a sink, once each, and knows how fresh that is."""
+    """Delivers the entries of a topic to a sink and tracks when the end was last confirmed."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         read_wait_s: float = READ_WAIT_S,
         pause_s: Callable[[], float] = no_pause,
     ) -> None:
-        """Follow ``topic`` for ``sink``.
+        """Create a follower that delivers the entries of ``topic`` to ``sink``.
 
-        After news it pauses for ``pause_s`` and takes what came meanwhile in one read.
-        An ``ordered`` sink gets each entry once and in offset order; any other gets
-        the newest entries whole, of which some may come again.
+        After a read that returned entries it pauses for ``pause_s`` seconds, to fetch the
+        entries that arrive meanwhile in one read. An ``ordered`` sink receives each entry once
+        and in offset order; any other receives full snapshots, which may repeat entries.
         """
         self._log = log
         self._topic = topic
@@ -65,15 +65,15 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether the topic was read to an end at least once."""
+        """Whether the topic has been read to its end at least once."""
         return self.confirmed_at_s >= 0.0
 
     def age_s(self) -> float:
-        """How long ago the log confirmed that nothing more was there."""
+        """Seconds since the log last confirmed that the follower had reached the end."""
         return boot_time_s() - self.confirmed_at_s
 
     async def run(self) -> None:
-        """Follow for as long as the node lives."""
+        """Follow the topic until cancelled."""
         unavailable = False
         while True:
             before = self.end
@@ -82,19 +82,19 @@
             except LogUnavailableError as error:
                 self.unavailable_at_s = boot_time_s()
                 if not unavailable:
-                    self._logger.warning("topic=%s lost: %s", self._topic, error)
+                    self._logger.warning("topic=%s log unavailable: %s", self._topic, error)
                 unavailable = True
                 await asyncio.sleep(self._rng.uniform(*RETRY_DELAY_RANGE_S))
                 continue
             if unavailable:
-                self._logger.info("topic=%s regained end=%d", self._topic, self.end)
+                self._logger.info("topic=%s log available again end=%d", self._topic, self.end)
             unavailable = False
             pause_s = self._pause_s() if self.caught_up and self.end > before else 0.0
             if pause_s > 0.0:
                 await self._pause(pause_s)
 
     def skip_pause(self) -> None:
-        """Read on at once if the follower pauses: somebody waits for what is new."""
+        """End the current pause, if any, because a caller waits for new entries."""
         if self.pausing:
             self._pause_skipped.set()
 
@@ -110,13 +110,13 @@
             self.pausing = False
 
     async def advance(self, wait_s: float) -> None:
-        """Read once and hand on what is new.
+        """Read once and deliver the new entries.
 
-        :raises LogUnavailableError: when the log gives no answer.
+        :raises LogUnavailableError: when the log gives no usable response.
         """
         if self.end < 0 and self._ordered:
-            # As long as the history is whole it is the shortest way: no key is repeated
-            # and nothing is encoded as text.
+            # While the full history is retained, reading it is cheaper than a snapshot: no key is
+            # repeated and nothing is encoded as text.
             self.end = 0
         elif self.end < 0:
             await self._snapshot()
@@ -124,13 +124,17 @@
         try:
             chunk = await self._log.read(self._topic, self.end, wait_s)
         except HistoryGoneError:
-            self._logger.warning("topic=%s history gone before %d", self._topic, self.end)
+            self._logger.warning(
+                "topic=%s history no longer retained at offset %d; reading a snapshot",
+                self._topic,
+                self.end,
+            )
             await self._snapshot()
             return
         self._deliver(chunk.entries, chunk.end)
 
     async def confirm(self, timeout_s: float) -> bool:
-        """Take all that is in the log now; False when that is not known to have worked."""
+        """Deliver everything that is in the log now; return False if that was not confirmed."""
         began_s = boot_time_s()
         try:
             async with asyncio.timeout(timeout_s):
@@ -144,8 +148,8 @@
         snapshot = await self._log.newest(self._topic)
         entries = sorted(snapshot.entries)
         if self._ordered:
-            # What was appended while the pages were read may lack an entry in between;
-            # it is read again from the end on.
+            # Entries appended while the snapshot pages were read may have gaps between them; these
+            # are read again from the end of the snapshot.
             entries = [entry for entry in entries if self.end <= entry.offset < snapshot.end]
         self._logger.info("topic=%s newest=%d end=%d", self._topic, len(entries), snapshot.end)
         self._sink(entries, True)
@@ -153,7 +157,7 @@
         self._mark_confirmed()
 
     def _deliver(self, entries: Sequence[LogEntry], end: int) -> None:
-        # Two reads may be under way at once; what the other brought is not taken twice.
+        # Two reads may be in flight at once; entries that the other one delivered are skipped.
         fresh = [entry for entry in entries if entry.offset >= self.end]
         if fresh:
             self._sink(fresh, not self.caught_up)
--- a/samphirecleat/durable/_item_shelf.py
+++ b/samphirecleat/durable/_item_shelf.py
@@ -1,4 +1,4 @@
-"""What the items of steps are made from, kept in the log apart from the steps."""
+"""Stores the item specifications of steps in the log, separately from the steps."""
 
 from collections.abc import Mapping, Sequence
 from typing import Final
@@ -10,30 +10,30 @@
 from ._texts import TextStore
 
 _DECODER: Final = msgspec.msgpack.Decoder(list[ItemSpec])
-# The key of a step's items among its texts.
+# Name of the items among the blobs of a step.
 _ITEMS_NAME: Final = ""
 
 
 class ItemStore:
-    """Writes and reads the items of steps, beside the texts of their results."""
+    """Writes and reads the items of steps, in the same topics as the texts of their results."""
 
     def __init__(self, texts: TextStore) -> None:
-        """Keep them where ``texts`` keeps what it is given."""
+        """Store the items through ``texts``."""
         self._texts = texts
 
     async def write(self, step_id: str, items: Sequence[ItemSpec]) -> TextRef | None:
-        """Return where a step's items stand, None if they may not be kept."""
+        """Write the items of a step; return their location, None unless confirmed."""
         refs = await self._texts.write_blobs(step_id, {_ITEMS_NAME: msgspec.msgpack.encode(items)})
         return refs[_ITEMS_NAME] if refs is not None else None
 
     async def read(self, ref: TextRef) -> Mapping[str, ItemSpec]:
-        """Return a step's items by id.
+        """Return the items of a step by item ID.
 
-        :raises LogUnavailableError: when they can't be had now.
+        :raises LogUnavailableError: when they cannot be read now.
         """
         blobs = await self._texts.read_blobs([ref])
         try:
             items = _DECODER.decode(blobs[ref.key])
         except msgspec.MsgspecError as error:
-            raise LogUnavailableError(f"items not understood: {error}") from error
+            raise LogUnavailableError(f"items cannot be decoded: {error}") from error
         return {item.item_id: item for item in items}
--- a/samphirecleat/durable/_listing.py
+++ b/samphirecleat/durable/_listing.py
@@ -1,4 +1,4 @@
-"""Lists results in the step log: their texts first, then that they are there."""
+"""Lists results in the step log: writes their texts first, then the records that refer to them."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping, Sequence
@@ -11,38 +11,38 @@
 from ._records import FinishedItem, ItemListed, ResultsListed, TextRef
 from ._texts import TextStore
 
-# What one append of texts may carry; the log takes two megabytes, and a slow link takes a
-# moment for it. Texts count as written out, of which packing leaves two thirds or less.
+# Size of one append of texts. The log accepts 2 MB, but a slow link needs time for that. Texts
+# count with their uncompressed size; compression reduces it to two thirds or less.
 MAX_APPEND_BYTES: Final = 1_000_000
-# Between tries to list results while the log gives no answer.
+# Delay before results are listed again after an append that was not confirmed.
 RETRY_DELAY_S: Final = 0.2
 
 
 class WriteResult(NamedTuple):
-    """What became of one record that was written."""
+    """The outcome of writing records to the step log."""
 
     outcome: AppendOutcome
     detail: str = ""
 
 
 Write = Callable[[Sequence[ResultsListed]], Awaitable[WriteResult]]
-"""Appends records in one go, all or none of them."""
+"""Appends records atomically."""
 
 
 class ResultLister:
-    """Keeps finished items in memory until the log has listed them.
+    """Keeps finished items in memory until their results are listed in the log.
 
-    A result is listed only after its text is known to be kept, so that no position ever
-    names a text that is not there.
+    A result is listed only after its text is known to be stored, so that no position refers
+    to a missing text.
 
-    Load pattern answered: texts of several steps end all the time, the last ones of a step are
-    waited for by its trainer, and an append takes from milliseconds to a quarter of a second.
-    The texts of different steps are written beside each other and beside the listing of those
-    that were written before, so that a result waits for two appends at most before its own.
+    Items of several steps finish continuously, trainers wait for the last results of a step, and
+    an append takes from a few milliseconds to 250 ms. Therefore the texts of different steps are
+    written concurrently with each other and with the listing of texts that were written before:
+    a result waits for at most two appends before its own.
     """
 
     def __init__(self, fold: StepFold, texts: TextStore, write: Write, observer: Observer) -> None:
-        """Write records with ``write``; ``fold`` tells which results still count."""
+        """Append records with ``write``; ``fold`` tells which results are still wanted."""
         self._fold = fold
         self._texts = texts
         self._write = write
@@ -54,17 +54,17 @@
         self._changed = asyncio.Event()
 
     def add(self, item: FinishedItem) -> None:
-        """Have an item listed as soon as the log takes it."""
+        """Queue an item for listing."""
         self._waiting.setdefault((item.step_id, item.item_id), item)
         self._changed.set()
 
     @property
     def waiting(self) -> int:
-        """How many items are not listed yet."""
+        """The number of items that are not listed yet."""
         return len(self._waiting)
 
     async def run(self) -> None:
-        """List all that became ready during an append in the next one."""
+        """List items until cancelled; results that become ready during an append share the next."""
         try:
             while True:
                 await self._changed.wait()
@@ -74,7 +74,7 @@
                 rows = self._rows_to_list()
                 if not rows:
                     continue
-                # What becomes ready during the append goes into the next one.
+                # Results that become ready during the append are listed in the next one.
                 self._changed.set()
                 if not await self._list(rows):
                     await asyncio.sleep(RETRY_DELAY_S)
@@ -92,7 +92,7 @@
         return step is not None and not step.ended and name[1] in step.unlisted
 
     def _write_texts(self) -> None:
-        """Begin to write the texts of each step that has some and none under way."""
+        """Start a write for each step that has unwritten texts and no write in progress."""
         unwritten: dict[str, list[FinishedItem]] = {}
         for name, item in self._waiting.items():
             if item.text is not None and name not in self._written:
@@ -116,7 +116,7 @@
             self._changed.set()
 
     def _rows_to_list(self) -> Mapping[str, Sequence[ItemListed]]:
-        """Return by step what can be listed: given up, or with a text that is kept."""
+        """Return the rows to list by step: abandoned items, and items whose text is stored."""
         rows: dict[str, list[ItemListed]] = {}
         for name, item in self._waiting.items():
             ref = self._written.get(name)
@@ -126,12 +126,12 @@
         return rows
 
     async def _list(self, rows: Mapping[str, Sequence[ItemListed]]) -> bool:
-        """Write the rows of all steps; False when that is not known to be done."""
+        """Append the rows of all steps; return False if that could not be confirmed."""
         began_s = asyncio.get_running_loop().time()
         written = await self._write([ResultsListed(step_id, of) for step_id, of in rows.items()])
         if written.outcome is not AppendOutcome.APPENDED:
             self._logger.warning(
-                "steps=%s results=%d outcome=%s detail=%s; tried again",
+                "steps=%s results=%d outcome=%s detail=%s; retrying",
                 ",".join(rows),
                 sum(len(of) for of in rows.values()),
                 written.outcome.value,
@@ -147,7 +147,7 @@
 
 
 def _first_append(items: Sequence[FinishedItem]) -> Sequence[FinishedItem]:
-    """Return the first items, one at least, as many as one append of texts may carry."""
+    """Return the leading items, at least one, whose texts fit into one append."""
     size_bytes = 0
     for at, item in enumerate(items):
         size_bytes += _max_utf8_bytes(item.text or "")
@@ -157,5 +157,5 @@
 
 
 def _max_utf8_bytes(text: str) -> int:
-    """Return the most that a text takes when it is written; packing may leave all of it."""
+    """Return an upper bound of the stored size of a text, which may not be compressible."""
     return len(text) if text.isascii() else 4 * len(text)
--- a/samphirecleat/durable/_ports.py
+++ b/samphirecleat/durable/_ports.py
@@ -1,4 +1,4 @@
-"""What durable steps need from outside: a keyed log, and engines that stream tokens."""
+"""Interfaces that durable steps depend on: the keyed log and the engines that stream tokens."""
 
 from collections.abc import AsyncGenerator, Mapping, Sequence
 from enum import Enum
@@ -7,12 +7,12 @@
 from ..serving import Target
 
 UNCONDITIONAL: Final = -1
-# One answer of the log; it sends a megabyte at most.
+# Size of one read; the log returns at most 1 MiB.
 MAX_READ_BYTES: Final = 1 << 20
 
 
 class LogEntry(NamedTuple):
-    """One record of a keyed topic; an empty ``value`` drops its key."""
+    """One record of a keyed topic; an empty ``value`` deletes its key."""
 
     offset: int
     key: str
@@ -20,14 +20,14 @@
 
 
 class LogSlice(NamedTuple):
-    """Entries in offset order, and where the log ended when they were read."""
+    """Entries in offset order, and the end offset of the topic when they were read."""
 
     entries: Sequence[LogEntry]
     end: int
 
 
 class AppendOutcome(Enum):
-    """What is known of an append after its answer, or the lack of one."""
+    """The outcome of an append; UNKNOWN when the response was lost."""
 
     APPENDED = "appended"
     NOT_APPENDED = "not_appended"
@@ -36,7 +36,7 @@
 
 
 class AppendResult(NamedTuple):
-    """The outcome of one append; ``offset`` is -1 unless it is APPENDED."""
+    """The outcome of one append; ``offset`` is -1 unless the outcome is APPENDED."""
 
     outcome: AppendOutcome
     offset: int = -1
@@ -44,80 +44,80 @@
 
 
 class LogUnavailableError(Exception):
-    """The log gave no usable answer."""
+    """The log could not be reached or gave no usable response."""
 
 
 class HistoryGoneError(Exception):
-    """The records that were asked for are no longer kept; read the newest of each key."""
+    """The requested offset has been compacted away; read the newest entry of each key instead."""
 
 
 class KeyedLog(Protocol):
-    """A log that keeps the newest record of each key for good."""
+    """A compacted log, which retains the newest record of each key indefinitely."""
 
     async def newest(self, topic: str, prefix: str = "") -> LogSlice:
-        """Return the newest entry of every key, or of every key that begins with ``prefix``.
+        """Return the newest entry of every key that begins with ``prefix``.
 
-        ``end`` is from before the first entry was read, so that reading on from it
-        misses nothing.
+        ``end`` was taken before the first entry was read, so a reader that continues from it
+        misses no entry.
 
-        :raises LogUnavailableError: when there is no usable answer.
+        :raises LogUnavailableError: when there is no usable response.
         """
         ...
 
     async def read(
         self, topic: str, from_offset: int, wait_s: float, *, max_bytes: int = MAX_READ_BYTES
     ) -> LogSlice:
-        """Return entries from an offset on, at least one if there is any.
+        """Return the entries from an offset, at least one if there is any.
 
-        Waits up to ``wait_s`` for a first; of what there is, about ``most_bytes``.
+        Waits up to ``wait_s`` seconds for the first entry and returns about ``max_bytes`` at most.
 
-        :raises LogUnavailableError: when there is no usable answer.
-        :raises HistoryGoneError: when the offset is no longer kept.
+        :raises LogUnavailableError: when there is no usable response.
+        :raises HistoryGoneError: when the offset is no longer retained.
         """
         ...
 
     async def append(
         self, topic: str, entries: Sequence[tuple[str, bytes]], at: int = UNCONDITIONAL
     ) -> AppendResult:
-        """Append entries all or none, only if the topic ends at ``at`` where it is given.
+        """Append entries atomically; if ``at`` is given, only if the topic ends at that offset.
 
-        Never raises for a failure of the log.
+        Failures of the log are reported in the result and never raised.
         """
         ...
 
 
 class PeerTexts(Protocol):
-    """Texts that another node still has in memory."""
+    """Access to texts that other nodes have in memory."""
 
     async def fetch(self, incarnation: str, keys: Sequence[str]) -> Mapping[str, bytes]:
-        """Return those of ``keys`` that the process of an incarnation has, packed as written.
+        """Return the compressed texts of those ``keys`` that an incarnation has cached.
 
-        Never raises for a process that is gone or does not answer; it has none.
+        Returns none of them, and does not raise, when the process is gone or does not respond.
         """
         ...
 
 
 class PlainLog(Protocol):
-    """A topic without keys whose old records vanish, for what may be lost."""
+    """Topics without keys, whose old records expire; for data that may be lost."""
 
     async def append_plain(self, topic: str, records: Sequence[bytes]) -> AppendResult:
-        """Append records; never raises for a failure of the log."""
+        """Append records; failures of the log are reported in the result and never raised."""
         ...
 
     async def trim_plain(self, topic: str, before: int) -> None:
-        """Drop the records before an offset; a failure leaves them for the next time."""
+        """Delete the records before an offset; after a failure they remain until the next call."""
         ...
 
     async def read_plain(self, topic: str) -> Sequence[bytes]:
-        """Return all records that are still kept.
+        """Return all records that are still retained.
 
-        :raises LogUnavailableError: when there is no usable answer.
+        :raises LogUnavailableError: when there is no usable response.
         """
         ...
 
 
 class GenerationEvent(NamedTuple):
-    """One event of a generation: its id, its data, and the weights that made it."""
+    """One event of a generation: its ID, its data and the version of the weights."""
 
     event_id: int
     data: str
@@ -125,9 +125,9 @@
 
 
 class GenerationCall(NamedTuple):
-    """One run of an item at an engine; resumes behind ``last_event_id`` unless it is 0.
+    """One run of an item at an engine; resumes after ``last_event_id`` unless it is 0.
 
-    ``workspace`` is whose step the item belongs to, "" for nobody's.
+    ``budget_s`` is in seconds. ``workspace`` owns the step of the item, "" if none does.
     """
 
     item_id: str
@@ -142,10 +142,10 @@
 
 
 class GenerationError(Exception):
-    """A run that ended without its end."""
+    """A run that ended before its text was complete."""
 
     def __init__(self, detail: str, reason: "GenerationFailure", *, cut: bool = False) -> None:
-        """Say what was seen of the engine; ``cut`` if it closed the connection."""
+        """Create the error; ``cut`` tells whether the engine closed the connection."""
         super().__init__(detail)
         self.cut = cut
         self.detail = detail
@@ -153,7 +153,7 @@
 
 
 class GenerationFailure(Enum):
-    """Why a run ended early."""
+    """Why a run ended before its text was complete."""
 
     REFUSED = "refused"
     FAILED = "failed"
@@ -169,7 +169,7 @@
     def generate(
         self, call: GenerationCall, target: Target
     ) -> AsyncGenerator[GenerationEvent, None]:
-        """Yield pieces until the engine said that the text is whole.
+        """Yield events until the engine reports that the text is complete.
 
         :raises GenerationError: when the run ends before that.
         """
--- a/samphirecleat/durable/_reading_pace.py
+++ b/samphirecleat/durable/_reading_pace.py
@@ -1,35 +1,35 @@
-"""How often a node reads on in the step log, so that a large fleet does not read too often.
+"""Limits how often each node reads the step log, so that a large fleet does not overload the store.
 
-Load pattern answered: results are listed some ten to thirty times a second, and each listing
-wakes the reads of every node. The store's rate is shared by all, and a node on half a core
-spends more on reads than on its callers.
+Results are listed ten to thirty times per second, and each listing completes the pending reads of
+all nodes. All nodes share the rate limit of the store, and a node with half a core would spend
+more time on reads than on its callers.
 """
 
 from typing import Final
 
-# Nodes that may read on at once at every listing: thirty reads a second of each are a third of
-# the smallest store's rate.
+# Up to this many nodes may read immediately after every listing: thirty reads per second and node
+# use a third of the rate of the smallest store.
 MAX_UNPACED_NODES: Final = 20
-# Each further node adds this much to the pause of all. At 75 nodes that makes some eight reads a
-# second of each, at 390 two or three.
+# Each further node lengthens the pause of all nodes by this much. At 75 nodes each one reads about
+# eight times per second, at 390 two or three times.
 PAUSE_PER_NODE_S: Final = 0.002
-# Results are seen at a node this much later at most, a third of what trainers may notice.
+# Maximum additional delay until results are visible at a node, a third of what trainers may notice.
 MAX_PAUSE_S: Final = 0.35
 
 
 def stores_items_separately(node_count: int) -> bool:
-    """Return whether the items of steps are kept apart from the steps.
+    """Return whether the items of steps are stored separately from the steps.
 
-    In a small fleet they cost little to read, and a call less to the log decides more: while the
-    store loses answers, each call may cost a second.
+    In a small fleet the items are cheap to read, and one call less to the log matters more: while
+    the store loses responses, each call may take a second.
     """
     return node_count > MAX_UNPACED_NODES
 
 
 def reading_pause_s(node_count: int, *, runs_work: bool) -> float:
-    """Return how long a node waits after news of the step log before it reads on.
+    """Return the pause of a node, in seconds, after a read that returned entries.
 
-    A node that runs a service reads on at once: its plan waits for what is new.
+    A node that runs a service does not pause, because its planner waits for new entries.
     """
     if runs_work:
         return 0.0
--- a/samphirecleat/durable/_records.py
+++ b/samphirecleat/durable/_records.py
@@ -1,8 +1,8 @@
-"""What is written to the step log, and how one record becomes entries of bounded size.
+"""Records of the step log, and their encoding as log entries of bounded size.
 
-Every entry has a key of its own that is never written twice: a record that is sent again
-because its answer was lost gets a new key. So "the newest entry of each key" is the whole
-history, and sorting it by offset gives the order in which it was appended.
+Every entry has a unique key: a record that is appended again because the response was lost
+gets a new key. Reading the newest entry of each key therefore returns the whole history, and
+sorting it by offset restores the order of the appends.
 """
 
 import hashlib
@@ -12,18 +12,18 @@
 
 import msgspec
 
-# The log takes records of up to 262,143 bytes; half of that leaves room for the key and
-# keeps one large text from filling an append.
+# The log accepts records of up to 262,143 bytes. Half of that leaves room for the key and
+# prevents one large text from filling an append.
 PART_BYTES: Final = 131_072
 _PART_HEADER_BYTES: Final = 4
-# A writer's id begins with its incarnation, of which this much stands in keys.
+# Length of the incarnation prefix that begins each writer ID and is therefore part of each key.
 INCARNATION_PREFIX_CHARS: Final = 8
-# Texts shrink by a third at the fastest level, which takes 20 ms a megabyte.
+# The fastest level; it reduces texts by a third and takes 20 ms per megabyte.
 _ZLIB_LEVEL: Final = 1
 
 
 class RewardSpec(NamedTuple):
-    """The call that scores an item's text."""
+    """The call that scores the text of an item."""
 
     request_id: str
     host: str
@@ -32,10 +32,10 @@
 
 
 class ItemSpec(NamedTuple):
-    """One item of a step: a generation, and the call that scores it.
+    """One item of a step: a generation and the call that scores it.
 
-    Lengths are in tokens: of the prompt, the most that may be made, and the trainer's
-    estimate of what will be, 0 for none.
+    Lengths are in tokens. ``max_tokens`` limits the generated text; ``estimated_tokens`` is the
+    trainer's estimate of its length, 0 if there is none.
     """
 
     item_id: str
@@ -50,17 +50,17 @@
 
     @property
     def expected_tokens(self) -> int:
-        """The trainer's estimate of what will be made, bounded by the most that may be."""
+        """The trainer's estimate of the generated length, limited to ``max_tokens``."""
         if self.estimated_tokens <= 0:
             return self.max_tokens
         return min(self.max_tokens, self.estimated_tokens)
 
 
 class StepRequest(NamedTuple):
-    """A step as its trainer submits it.
+    """A step as submitted by its trainer.
 
-    ``accepted_at_ms`` is the accepting node's time of day and only bounds how long
-    the step is kept. ``workspace`` is whose key submitted it, "" without a key.
+    ``accepted_at_ms`` is the wall-clock time of the accepting node; it only limits how long
+    the step is kept. ``workspace`` owns the API key of the submission, "" without a key.
     """
 
     step_id: str
@@ -76,10 +76,10 @@
 
 
 class TextRef(NamedTuple):
-    """Where a text stands: ``entries`` entries from ``offset`` on of a text topic.
+    """The location of a text: ``entries`` entries of a text topic, starting at ``offset``.
 
-    ``key`` is the key of its entries without their number. ``packed_bytes`` is its size as
-    written, ``text_bytes`` its length in UTF-8.
+    ``key`` is the key of its entries without the part number. ``packed_bytes`` is the
+    compressed size, ``text_bytes`` the length in UTF-8.
     """
 
     shard: int
@@ -91,13 +91,14 @@
 
 
 class StepAccepted(NamedTuple):
-    """A step that the system must keep from now on.
+    """A step that has been accepted and must be kept.
 
-    In a large fleet what its items are made from stands apart, at ``items_at``: every node folds
-    every step, and only the node that runs it needs what its engines are sent, which is nearly
-    all of its size. In a small one ``items`` holds it, and no second call to the log is needed.
+    In a large fleet the item specifications are stored separately, at ``items_at``: every node
+    folds every step, but only the node that runs it needs the requests to its engines, which
+    make up nearly all of its size. In a small fleet ``items`` holds them, which saves a second
+    call to the log.
 
-    A step belongs to a ``workspace`` and not to a key: one that is taken away ends no step.
+    A step belongs to a ``workspace``, not to an API key: revoking a key does not end its steps.
     """
 
     step_id: str
@@ -115,7 +116,7 @@
 
 
 def accepted_record(request: StepRequest, items_at: TextRef | None) -> StepAccepted:
-    """Return the record of a step whose items are kept at ``items_at``, or in it without that."""
+    """Return the record of a step; it holds the items itself if ``items_at`` is None."""
     return StepAccepted(
         request.step_id,
         request.host,
@@ -133,7 +134,7 @@
 
 
 class ItemListed(NamedTuple):
-    """The result of an item; ``text`` is None for one that was given up."""
+    """The result of an item; ``text`` is None if the item was abandoned."""
 
     item_id: str
     versions: Sequence[int]
@@ -149,8 +150,8 @@
 class ResultsListed(NamedTuple):
     """Results of a step, in the order of their positions.
 
-    The position of a result is its place among all such records in the log. Their texts
-    stand elsewhere: every node folds every result, and few nodes are asked for any one text.
+    The position of a result is its index among all results of the step in the log. Texts are
+    stored separately: every node folds every result, but few nodes have to serve a given text.
     """
 
     step_id: str
@@ -158,7 +159,7 @@
 
 
 class FinishedItem(NamedTuple):
-    """The outcome of an item before it is written; ``text`` is None if it was given up."""
+    """The outcome of an item before it is listed; ``text`` is None if it was abandoned."""
 
     step_id: str
     item_id: str
@@ -168,7 +169,7 @@
 
 
 class StepEnded(NamedTuple):
-    """The trainer wants nothing more of a step."""
+    """The trainer has ended a step and needs no further results."""
 
     step_id: str
 
@@ -176,9 +177,9 @@
 class RunnerClaimed(NamedTuple):
     """An incarnation takes over the work of a service.
 
-    It counts only if the claim at the offset ``replaces`` (-1: none) is in force where it
-    stands in the log, so that one which takes effect late changes nothing. The offset of
-    this record is the fencing number of the orders that it gives.
+    The claim is valid only if the claim at offset ``replaces`` (-1: none) is in force at this
+    record's place in the log, so a delayed append has no effect. The offset of this record
+    is the fencing token of the orders that the runner issues.
     """
 
     service: str
@@ -199,23 +200,23 @@
 
 
 class RecordFormatError(Exception):
-    """An entry of the step log that this version does not understand."""
+    """A log entry that this version cannot decode."""
 
 
 def encode_record(record: Record) -> bytes:
-    """Return the bytes of a record."""
+    """Return the encoded form of a record: its type tag and its compressed content."""
     return bytes([_TAG_BY_TYPE[type(record)]]) + compress(msgspec.msgpack.encode(record))
 
 
 def compress(content: bytes) -> bytes:
-    """Return content in the compressed form in which it is written to the log."""
+    """Return content in the compressed form that is written to the log."""
     return zlib.compress(content, _ZLIB_LEVEL)
 
 
 def decompress(blob: bytes) -> bytes:
-    """Return the content of a compressed form.
+    """Return the content of a compressed blob.
 
-    :raises RecordFormatError: when it is none.
+    :raises RecordFormatError: when the blob is not valid compressed data.
     """
     try:
         return zlib.decompress(blob)
@@ -224,13 +225,13 @@
 
 
 def decode_record(blob: bytes) -> Record:
-    """Return the record of some bytes.
+    """Decode a record.
 
-    :raises RecordFormatError: when they hold none.
+    :raises RecordFormatError: when the tag is unknown or the content cannot be decoded.
     """
     decoder = _DECODER_BY_TAG.get(blob[0]) if blob else None
     if decoder is None:
-        raise RecordFormatError(f"tag {blob[:1]!r}")
+        raise RecordFormatError(f"unknown record tag {blob[:1]!r}")
     try:
         record: Record = decoder.decode(decompress(blob[1:]))
     except msgspec.MsgspecError as error:
@@ -239,12 +240,12 @@
 
 
 def split_record(record: Record, key: str) -> Sequence[tuple[str, bytes]]:
-    """Return the entries that carry a record under ``key``, which must be new."""
+    """Split a record into log entries under ``key``, which must not have been used before."""
     return split_blob(encode_record(record), key)
 
 
 def split_blob(blob: bytes, key: str) -> Sequence[tuple[str, bytes]]:
-    """Return the entries that carry some bytes under ``key``, which must be new."""
+    """Split a blob into log entries under ``key``, which must not have been used before."""
     chunks = [blob[at : at + PART_BYTES] for at in range(0, len(blob), PART_BYTES)]
     count = len(chunks)
     return [
@@ -254,25 +255,25 @@
 
 
 def join_blob(values: Sequence[bytes]) -> bytes:
-    """Return the bytes that the values of consecutive entries carry."""
+    """Join the values of the entries of one blob, given in the order of their parts."""
     return b"".join(value[_PART_HEADER_BYTES:] for value in values)
 
 
 class RecordAssembler:
-    """Puts records together again from entries in offset order.
+    """Reassembles records from entries in offset order.
 
-    A record counts at the offset of its last part. Parts whose record was never
-    finished wait in vain; they are few, and small beside what is kept anyway.
+    A record takes effect at the offset of its last part. Parts of records that were never
+    completed stay in memory; they are few and small compared with the other state.
     """
 
     def __init__(self) -> None:
-        """Start without any part."""
+        """Create an assembler without pending parts."""
         self._parts: dict[str, dict[int, bytes]] = {}
 
     def add(self, key: str, value: bytes) -> Record | None:
-        """Take an entry; return the record that it completes, if any.
+        """Add an entry; return the record that it completes, if any.
 
-        :raises RecordFormatError: for an entry that is not understood.
+        :raises RecordFormatError: when the completed record cannot be decoded.
         """
         if len(value) <= _PART_HEADER_BYTES:
             return None
@@ -289,16 +290,16 @@
 
 
 def key_prefix(subject: str) -> str:
-    """Return a short, fixed-length part of a key for an id of any length."""
+    """Return the key prefix of a step or service: a hash of fixed length, whatever the ID."""
     return hashlib.blake2b(subject.encode(), digest_size=10).hexdigest()
 
 
 def writer_incarnation(key: str) -> str:
-    """Return the beginning of the incarnation that wrote an entry, "" for a key of another form."""
+    """Return the incarnation prefix of an entry's writer, "" if the key has another format."""
     parts = key.split("/")
     return incarnation_prefix(parts[1]) if len(parts) > 1 else ""
 
 
 def incarnation_prefix(writer: str) -> str:
-    """Return what the ids of an incarnation and of its writers have in common: their beginning."""
+    """Return the prefix that an incarnation shares with the IDs of its writers."""
     return writer[:INCARNATION_PREFIX_CHARS]
--- a/samphirecleat/durable/_retention.py
+++ b/samphirecleat/durable/_retention.py
@@ -1,7 +1,7 @@
-"""Drops steps from the log that nobody may ask for any more.
+"""Deletes steps from the log once their retention has expired.
 
-The log keeps the newest record of each key for good and refuses appends when it is full. A
-fleet that never dropped a key would stop taking steps after some minutes at full load.
+The log retains the newest record of each key indefinitely and rejects appends when it is full.
+Without deletion, a fleet at full load would stop accepting steps after some minutes.
 """
 
 import asyncio
@@ -14,10 +14,10 @@
 
 
 async def drop_forgotten_steps(step_log: StepLog, observer: Observer) -> None:
-    """Drop what the fold forgot from the log, for as long as the node runs a service.
+    """Delete steps that the fold has forgotten from the log, while the node runs a service.
 
-    A step that is half dropped, or whose runner was lost before, is dropped again by the
-    next one: every node keeps the names of the steps that it forgot last.
+    A step whose deletion was interrupted, or whose runner was lost before it, is deleted by the
+    next runner: every node remembers the IDs of the steps that it forgot most recently.
     """
     logger = observer.log("retention")
     while True:
@@ -25,7 +25,7 @@
         while step_log.forgotten:
             step_id = step_log.forgotten[0]
             if not await step_log.drop(step_id):
-                logger.warning("step=%s not dropped; tried again", step_id)
+                logger.warning("step=%s could not be deleted from the log; retrying", step_id)
                 break
             step_log.forgotten.popleft()
-            logger.info("step=%s dropped from the log", step_id)
+            logger.info("step=%s deleted from the log", step_id)
--- a/samphirecleat/durable/_step_log.py
+++ b/samphirecleat/durable/_step_log.py
@@ -1,4 +1,4 @@
-"""The step log at one node: the fold kept up to date, and records written to it."""
+"""The step log at one node: keeps the fold up to date and appends records."""
 
 import asyncio
 import random
@@ -33,27 +33,27 @@
 from ._texts import NO_PEERS, TextStore, drop_prefix
 
 STEP_TOPIC: Final = "keyed.steps"
-# A fold that was confirmed this recently needs no question to the log before it answers:
-# half of the time within which a listed result must be seen at every node.
+# A fold that was confirmed this recently is used without asking the log again. This is half of
+# the time within which a listed result must be visible at every node.
 FRESH_WITHIN_S: Final = 0.9
-# How long an ended step stays readable at this node: what the platform asks, and more.
+# How long an ended step stays readable at this node, longer than the platform requires.
 ENDED_STEP_RETENTION_S: Final = 180.0
-# A trainer that never ends its step is gone; no step is worked on for that long.
+# A step that is open for longer was abandoned by its trainer; none takes that long.
 OPEN_STEP_RETENTION_S: Final = 3600.0
-# Items whose answer was lost are written again so often before their step is refused: where they
-# stand must be known, and what stands there in vain is no step.
+# Attempts to write the items of a step before the step is refused. An append whose response was
+# lost is repeated, because the location of the items must be known; unreferenced items are ignored.
 ITEM_WRITE_ATTEMPTS: Final = 3
-# Names of forgotten steps that are still to be dropped from the log.
+# IDs of forgotten steps that have yet to be deleted from the log.
 MAX_FORGOTTEN_STEPS: Final = 512
 
 
 def always_true() -> bool:
-    """Say yes."""
+    """Return True."""
     return True
 
 
 class StepLog:
-    """Folds the step log and appends to it; every node has one."""
+    """Folds the step log of the fleet and appends to it; every node has one instance."""
 
     def __init__(
         self,
@@ -65,10 +65,11 @@
         store_items_separately: Callable[[], bool] = always_true,
         peer_texts: PeerTexts = NO_PEERS,
     ) -> None:
-        """Write as ``incarnation``; after news of the log pause for ``pause_s``.
+        """Create the step log of the process ``incarnation``.
 
-        ``items_apart`` says whether the items of a step are written apart from it. Texts that
-        the log can't give are asked of ``peer_texts``.
+        ``pause_s`` returns the pause in seconds after each read that returned entries.
+        ``store_items_separately`` tells whether the items of a step are written as a separate
+        blob. Texts that the log cannot return are requested from ``peer_texts``.
         """
         self.fold = StepFold()
         self._log = log
@@ -93,25 +94,25 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether the log was folded to its end at least once."""
+        """Whether the log has been folded to its end at least once."""
         return self._follower.caught_up
 
     def is_fresh(self, within_s: float = FRESH_WITHIN_S) -> bool:
-        """Whether the fold was confirmed to be whole within the last ``within_s``."""
+        """Whether the fold was confirmed to be complete within the last ``within_s`` seconds."""
         return self._follower.age_s() <= within_s
 
     async def run(self) -> None:
-        """Follow the log and list results for as long as the node lives."""
+        """Follow the log and list results until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._follower.run())
             group.create_task(self._lister.run())
 
     @contextmanager
     def reading(self) -> Iterator[None]:
-        """Read on in the log without pauses for as long as the block lasts.
+        """Read the log without pauses while the context is active.
 
-        A large fleet's nodes pause between their reads. One that a trainer waits at would
-        hold up the last result of a step for that pause.
+        The nodes of a large fleet pause between reads. Without this, a trainer that waits at a
+        node would receive the last result of its step late by that pause.
         """
         self._readers += 1
         self._follower.skip_pause()
@@ -121,7 +122,7 @@
             self._readers -= 1
 
     async def catch_up(self, timeout_s: float) -> None:
-        """Fold what came during a pause; at most ``timeout_s`` are spent on it."""
+        """Fold the entries that arrived during a pause, within ``timeout_s`` seconds at most."""
         if self._follower.pausing:
             await self.confirm(timeout_s)
 
@@ -129,7 +130,7 @@
         return 0.0 if self._readers else self._pause_between_reads_s()
 
     async def wait_for_change(self, timeout_s: float) -> None:
-        """Wait until the fold changes, at most ``timeout_s``."""
+        """Wait until the fold changes, for ``timeout_s`` seconds at most."""
         changed = self._changed
         try:
             async with asyncio.timeout(timeout_s):
@@ -138,14 +139,14 @@
             return
 
     async def confirm(self, timeout_s: float) -> bool:
-        """Fold all that is in the log now; False when that is not known to have worked."""
+        """Fold everything that is in the log now; return False if that could not be confirmed."""
         return await self._follower.confirm(timeout_s)
 
     async def accept(self, request: StepRequest) -> WriteResult:
-        """Write a step down; APPENDED as soon as it is known to be kept.
+        """Append a step; the outcome is APPENDED once the step is known to be stored.
 
-        Items that stand apart go first: a step that is kept has them. Items that are kept
-        without their step are none; they go when the step of that id is dropped.
+        Items that are stored separately are written first, so that a stored step always has
+        its items. Items without a step are ignored; they are deleted with the step of that ID.
         """
         if not self._store_items_separately():
             return await self._write(accepted_record(request, None), request.step_id)
@@ -153,42 +154,43 @@
             items_at = await self._items.write(request.step_id, request.items)
             if items_at is not None:
                 return await self._write(accepted_record(request, items_at), request.step_id)
-        return WriteResult(AppendOutcome.NOT_APPENDED, "its items are not known to be kept")
+        return WriteResult(AppendOutcome.NOT_APPENDED, "the items of the step could not be stored")
 
     async def read_items(self, step: StepAccepted) -> Mapping[str, ItemSpec]:
-        """Return what the items of a step are made from, by id.
+        """Return the item specifications of a step by item ID.
 
-        :raises LogUnavailableError: when they can't be had now.
+        :raises LogUnavailableError: when they cannot be read now.
         """
         if step.items_at is None:
             return {item.item_id: item for item in step.items}
         return await self._items.read(step.items_at)
 
     async def end(self, step_id: str) -> WriteResult:
-        """Write down that a step is ended."""
+        """Append the end of a step."""
         return await self._write(StepEnded(step_id), step_id)
 
     async def claim(self, service: str, node_id: str, incarnation: str) -> WriteResult:
-        """Claim a service for a node; the fold tells whether the claim counted."""
+        """Append a claim of a service for a node; the fold tells whether the claim is valid."""
         held = self.fold.claims.get(service)
         replaces = held.offset if held is not None else NO_CLAIM
         return await self._write(RunnerClaimed(service, node_id, incarnation, replaces), service)
 
     async def drop(self, step_id: str) -> bool:
-        """Drop a step from the log for good; False if that is not known to be done.
+        """Delete a step from the log; return False if that could not be confirmed.
 
-        What refers to its texts goes first, lest a reader that starts anew look for them.
+        Records that refer to its texts are deleted first, so that a newly started reader does
+        not look for missing texts.
         """
         prefix = key_prefix(step_id)
         return await drop_prefix(self._log, STEP_TOPIC, prefix) and await self.texts.drop(step_id)
 
     def list_result(self, item: FinishedItem) -> None:
-        """Have an item listed as soon as the log takes it; kept in memory until then."""
+        """Queue an item for listing; it stays in memory until the log has accepted it."""
         self._lister.add(item)
 
     @property
     def unlisted(self) -> int:
-        """How many results wait to be listed."""
+        """The number of results that are not listed yet."""
         return self._lister.waiting
 
     async def _write_results(self, records: Sequence[ResultsListed]) -> WriteResult:
@@ -198,7 +200,7 @@
         return await self._write_all([(record, subject)])
 
     async def _write_all(self, records: Sequence[tuple[Record, str]]) -> WriteResult:
-        """Append records with their subjects, all or none of them."""
+        """Append records atomically, each keyed by its subject (a step or service ID)."""
         entries = [
             entry
             for record, subject in records
@@ -231,7 +233,7 @@
             try:
                 record = self._assembler.add(entry.key, entry.value)
             except RecordFormatError as error:
-                self._logger.error("entry offset=%d not understood: %s", entry.offset, error)
+                self._logger.error("entry offset=%d cannot be decoded: %s", entry.offset, error)
                 continue
             if record is not None:
                 changed = self.fold.apply(record, entry.offset, now_s)
@@ -258,7 +260,7 @@
                 self._observer.counters["steps_folded"] += changed
 
     def _log_record(self, record: Record, offset: int, *, changed: bool) -> None:
-        """Tell what became of a record, at the node that wrote it: all others fold the same."""
+        """Log the effect of a record at its writer only; every node folds the same records."""
         match record:
             case StepAccepted():
                 self._logger.info(
--- a/samphirecleat/durable/_texts.py
+++ b/samphirecleat/durable/_texts.py
@@ -1,9 +1,9 @@
-"""Texts of results, kept in the log apart from the steps and read when a trainer asks.
+"""Stores result texts in topics separate from the step log; they are read on request.
 
-Load pattern answered: a fleet makes a megabyte of text a second, and every node folds every
-step. With the texts among the steps each node would read all of them all the time, and after
-a loss of power all of them at once before it could serve anything; from some dozen nodes on
-that is more than the store sends.
+A fleet generates one megabyte of text per second, and every node folds every step. If the step
+log held the texts, each node would read all of them continuously and, after a power loss, all at
+once before it could serve requests. From a few dozen nodes on, that exceeds the bandwidth of
+the store.
 """
 
 import hashlib
@@ -25,19 +25,20 @@
     writer_incarnation,
 )
 
-# Each topic takes appends one at a time; several let the services' texts pass each other.
+# Each topic processes its appends one at a time; with several topics, the services do not block
+# each other.
 SHARDS: Final = 8
-# What a node keeps of the texts that it wrote or read: a few steps' worth, far below its memory.
+# Size of a node's cache of texts that it wrote or read: a few steps, far below its memory.
 CACHE_BYTES: Final = 4_000_000
-# Texts of one step stand together but for those of other steps in between; reading a few of
-# these too costs less than another call.
+# The texts of one step are adjacent except for interleaved texts of other steps; reading a few of
+# these costs less than another call.
 MAX_GAP_ENTRIES: Final = 3
-# A key and the lengths around an entry, for the size of a read.
+# Key and length fields of an entry, to estimate the size of a read.
 _ENTRY_OVERHEAD_BYTES: Final = 80
 
 
 class _NoPeers:
-    """Nobody to ask."""
+    """No peers; returns no texts."""
 
     async def fetch(self, incarnation: str, keys: Sequence[str]) -> Mapping[str, bytes]:
         del incarnation, keys
@@ -48,7 +49,7 @@
 
 
 class TextStore:
-    """Writes and reads texts; every node has one."""
+    """Writes and reads texts; every node has one instance."""
 
     def __init__(
         self,
@@ -57,9 +58,10 @@
         observer: Observer,
         peers: PeerTexts = NO_PEERS,
     ) -> None:
-        """Write as ``writer_id``, which no other process has and begins with its incarnation.
+        """Create a store whose keys contain ``writer_id``.
 
-        What the log can't give now is asked of ``peers``.
+        The writer ID must be unique to the process and begin with its incarnation. Texts that
+        the log cannot return are requested from ``peers``.
         """
         self._log = log
         self._peers = peers
@@ -73,17 +75,17 @@
     async def write(
         self, step_id: str, items: Sequence[FinishedItem]
     ) -> Mapping[str, TextRef] | None:
-        """Return where the texts of a step's items stand, None if they may not be kept."""
+        """Write the texts of items; return their locations by item ID, None unless confirmed."""
         texts = {item.item_id: item.text.encode() for item in items if item.text is not None}
         return await self.write_blobs(step_id, texts)
 
     async def write_blobs(
         self, step_id: str, contents: Mapping[str, bytes]
     ) -> Mapping[str, TextRef] | None:
-        """Return where a step's contents stand, by their names, None if they may not be kept.
+        """Write blobs of a step; return their locations by name, None unless confirmed.
 
-        They are then written again under new keys: what the first try may have left
-        behind is never referred to.
+        After None the caller writes the blobs again, under new keys: entries that the first
+        attempt may have left in the log are never referenced.
         """
         shard = shard_of(step_id)
         entries: list[tuple[str, bytes]] = []
@@ -112,16 +114,16 @@
     async def read(self, refs: Sequence[TextRef]) -> Mapping[str, str]:
         """Return texts by key.
 
-        :raises LogUnavailableError: when one of them can't be had now.
+        :raises LogUnavailableError: when one of them cannot be read now.
         """
         return {key: blob.decode() for key, blob in (await self.read_blobs(refs)).items()}
 
     async def read_blobs(self, refs: Sequence[TextRef]) -> Mapping[str, bytes]:
-        """Return contents by key.
+        """Return decompressed blobs by key.
 
-        :raises LogUnavailableError: when one of them can't be had now.
+        :raises LogUnavailableError: when one of them cannot be read now.
         """
-        # Taken first: keeping what is read may push these out.
+        # Copied first: caching what is read below may evict these entries.
         found = {
             ref.key: self._cache_by_key[ref.key] for ref in refs if ref.key in self._cache_by_key
         }
@@ -137,13 +139,13 @@
         return {key: decompress(packed) for key, packed in found.items()}
 
     def cached(self, keys: Sequence[str]) -> Mapping[str, bytes]:
-        """Return what this node has of some texts in memory, packed as written."""
+        """Return the compressed texts of those keys that are in the cache."""
         return {key: self._cache_by_key[key] for key in keys if key in self._cache_by_key}
 
     async def _fetch_with_fallback(self, group: Sequence[TextRef]) -> Mapping[str, bytes]:
-        """Return texts from the log, or from the nodes that wrote them while the log is away.
+        """Return texts from the log, or from their writers while the log is unavailable.
 
-        A store that sheds its load refuses texts that are listed and whose writer still has them.
+        A store that sheds load refuses reads of listed texts that their writers still have cached.
         """
         try:
             return await self._fetch_from_log(group)
@@ -152,7 +154,9 @@
             if len(found) < len(group):
                 raise
             self._observer.counters["texts_from_peers"] += len(found)
-            self._logger.info("texts=%d from their writers, the log: %s", len(found), error)
+            self._logger.info(
+                "texts=%d read from their writers; log unavailable: %s", len(found), error
+            )
             return found
 
     async def _fetch_from_writers(self, group: Sequence[TextRef]) -> Mapping[str, bytes]:
@@ -165,17 +169,17 @@
         return found
 
     async def drop(self, step_id: str) -> bool:
-        """Drop every text of a step from the log; False if that is not known to be done."""
+        """Delete all texts of a step; return False if that could not be confirmed."""
         return await drop_prefix(self._log, topic_of(shard_of(step_id)), key_prefix(step_id))
 
     async def _fetch_from_log(self, group: Sequence[TextRef]) -> Mapping[str, bytes]:
-        """Return the packed texts of one stretch of the log."""
+        """Return the compressed texts of one range of the log."""
         topic = topic_of(group[0].shard)
         self._observer.counters["texts_fetched"] += len(group)
         try:
             values = await self._read_range(topic, group)
         except HistoryGoneError:
-            # Only the newest of each key is kept for good, which is each of them.
+            # The log retains the newest entry of each key; keys are unique, so no entry is lost.
             values = await self._read_newest(topic, group)
         found = {}
         for ref in group:
@@ -196,7 +200,7 @@
             )
             chunk = await self._log.read(topic, at, 0.0, max_bytes=wanted_bytes)
             if not chunk.entries:
-                raise LogUnavailableError(f"{topic} ends at {chunk.end}, wanted up to {end}")
+                raise LogUnavailableError(f"{topic} ends at offset {chunk.end}; expected {end}")
             values.update({entry.key: entry.value for entry in chunk.entries})
             at = chunk.entries[-1].offset + 1
         return values
@@ -222,17 +226,17 @@
 
 
 def shard_of(step_id: str) -> int:
-    """Return the number of the text topic that holds a step's texts."""
+    """Return the shard of a step's texts, that is the number of their topic."""
     return hashlib.blake2b(step_id.encode(), digest_size=2).digest()[0] % SHARDS
 
 
 def topic_of(shard: int) -> str:
-    """Return the name of a text topic."""
+    """Return the topic of a shard."""
     return f"keyed.texts.{shard}"
 
 
 async def drop_prefix(log: KeyedLog, topic: str, prefix: str) -> bool:
-    """Drop every key of a topic that begins with ``prefix``; False if it may not be done."""
+    """Delete all keys with a prefix from a topic; return False if that could not be confirmed."""
     try:
         kept = await log.newest(topic, prefix)
     except LogUnavailableError:
@@ -244,7 +248,7 @@
 
 
 def _group_adjacent(refs: Iterable[TextRef]) -> Sequence[Sequence[TextRef]]:
-    """Return sorted references in stretches that are worth one read each."""
+    """Group references, sorted by location, into ranges that are read in one call each."""
     ordered = list(refs)
     groups = [[ref] for ref in ordered[:1]]
     for before, ref in pairwise(ordered):
