--- a/samphirecleat/durable/_crash_records.py
+++ b/samphirecleat/durable/_crash_records.py
@@ -1,7 +1,7 @@
-"""What is known of calls that ended targets, kept in the log: it outlives every node.
+"""Records in the log of calls that crash their targets; they survive the loss of every node.
 
-Load pattern answered: all nodes lose power, or a node starts or was cut off, while a call that
-ends its targets still comes back. Each node that forgot would let it end three more.
+All nodes may lose power, or a node may start or be partitioned, while a call that crashes its
+targets is still being retried. Each node without these records would let it crash three more.
 """
 
 import asyncio
@@ -19,20 +19,22 @@
 from ._ports import AppendOutcome, KeyedLog, LogEntry
 
 CRASH_TOPIC: Final = "keyed.crashes"
-# A call is written down from its second end on: nearly every call that loses one target is
-# innocent, and a third end would be the first that is one too many.
+# A call is recorded from its second crash: nearly every call that loses one target did not cause
+# the crash, and a third crash would already be one too many.
 MIN_RECORDED_ENDS: Final = 2
 READ_WAIT_S: Final = 10.0
-# Appends of one node are this far apart.
+# Minimum interval between the appends of one node.
 APPEND_INTERVAL_S: Final = 0.05
-# A node without evidence of its own waits so long, and up to so much longer for each node of the
-# fleet, for another one to have written it: if all did at once, they would use up the log's rate.
+# A node that did not observe the crashes itself waits for another node to write the record: this
+# long, plus a random part of up to DELAY_PER_NODE_S for each node of the fleet. If all nodes wrote
+# at once, they would exhaust the rate limit of the log.
 OTHER_WRITERS_DELAY_S: Final = 1.5
 DELAY_PER_NODE_S: Final = 0.1
-# A record that was not taken is tried again after this long, and twice as long each time.
+# Initial delay before a rejected record is retried; it doubles with each attempt.
 FIRST_RETRY_S: Final = 0.1
 MAX_RETRY_S: Final = 5.0
-# A call that is refused and still comes is written anew this often, so that nobody forgets it.
+# A refused call that is still being retried is recorded again this often, so that it does not
+# expire at any node.
 REFRESH_INTERVAL_S: Final = 600.0
 
 
@@ -43,7 +45,7 @@
 
 
 class CrashRecords:
-    """Writes suspects to the log and takes in what other nodes wrote."""
+    """Writes suspected calls to the log and applies the records of other nodes."""
 
     def __init__(
         self,
@@ -54,7 +56,7 @@
         node_count: Callable[[], int],
         pause_s: Callable[[], float] = no_pause,
     ) -> None:
-        """Keep ``ledger`` as the log says, reading on ``pause_s`` after news."""
+        """Keep ``ledger`` in step with the log, pausing ``pause_s`` seconds after new entries."""
         self._log = log
         self._ledger = ledger
         self._observer = observer
@@ -77,17 +79,17 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether all that was written before this node started is known."""
+        """Whether all records from before the start of this node have been applied."""
         return self._follower.caught_up
 
     async def run(self) -> None:
-        """Follow and write for as long as the node lives."""
+        """Follow the log and write records until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._follower.run())
             group.create_task(self._write_loop())
 
     def record(self, mark: bytes, *, own: bool) -> None:
-        """Write soon what is known of a call, unless another node does meanwhile."""
+        """Schedule a record of a call; it is not written if another node writes it first."""
         if not self._is_news(mark):
             return
         max_spread_s = DELAY_PER_NODE_S * self._node_count()
@@ -97,7 +99,7 @@
         self._scheduled.set()
 
     def _is_news(self, mark: bytes) -> bool:
-        """Whether the log lacks what is known of a call."""
+        """Whether the ledger holds information on a call that the log lacks."""
         suspect = self._ledger.suspects.get(mark)
         written = self._written.get(mark)
         if suspect is None or not suspect.ends:
@@ -122,7 +124,7 @@
                     await self._scheduled.wait()
             except TimeoutError:
                 pass
-            # What comes together is written together.
+            # Records that become due together are written in one append.
             await asyncio.sleep(APPEND_INTERVAL_S)
             due = [mark for mark, due_s in self._due_s.items() if due_s <= loop.time()]
             for mark in due:
@@ -138,14 +140,16 @@
             self._observer.counters["crash_records_written"] += len(marks)
             self._retry_s = FIRST_RETRY_S
             return
-        self._logger.warning("calls=%d not written yet: %s", len(marks), result.detail)
+        self._logger.warning(
+            "calls=%d could not be recorded; retrying: %s", len(marks), result.detail
+        )
         retry_at_s = asyncio.get_running_loop().time() + self._retry_s * self._rng.uniform(1.0, 2.0)
         self._retry_s = min(MAX_RETRY_S, 2.0 * self._retry_s)
         for mark in marks:
             self._due_s.setdefault(mark, retry_at_s)
 
     def _encode_record(self, mark: bytes) -> bytes:
-        """Return the record of a call; none drops what stood there."""
+        """Encode the record of a call; an empty one deletes the earlier record."""
         suspect = self._ledger.suspects.get(mark)
         if suspect is None or not suspect.ends:
             return b""
@@ -169,12 +173,12 @@
                     bytes.fromhex(entry.key), entry.value, now_s, historical=historical
                 )
             except (msgspec.MsgspecError, ValueError, KeyError, TypeError) as error:
-                self._logger.error("offset=%d not understood: %r", entry.offset, error)
+                self._logger.error("offset=%d cannot be decoded: %r", entry.offset, error)
 
     def _apply_record(self, mark: bytes, value: bytes, now_s: float, *, historical: bool) -> None:
-        """Take one record.
+        """Apply one record.
 
-        :raises ValueError: and the like, when it is none.
+        :raises ValueError: when it is malformed; also KeyError, TypeError and MsgspecError.
         """
         if not value:
             self._written.pop(mark, None)
--- a/samphirecleat/durable/_orderer.py
+++ b/samphirecleat/durable/_orderer.py
@@ -1,10 +1,10 @@
-"""Brings named versions to a service's engines, at the node that runs the service.
+"""Orders the engines of a service to load weight versions, at the node that runs the service.
 
-Safety rests on the engines' own checks: each order carries the offset of the runner's claim
-as fencing number, the count of orders that the engine had accepted, and the instance it is
-meant for. An order that is carried out late finds its condition false. Beyond that, the
-holder orders only while the log confirmed its claim a moment ago, and a new one waits until
-no earlier holder can still be doing so; both count time that the host stood still.
+Safety rests on checks by the engines: each order carries the offset of the runner's claim as
+fencing token, the number of orders that the engine has accepted before, and the instance it is
+meant for. The condition of a delayed order is false by the time it is executed. In addition, the
+holder issues orders only while the log has recently confirmed its claim, and a new holder waits
+until no earlier one can still do so; both clocks include time during which the host was suspended.
 """
 
 import asyncio
@@ -19,17 +19,17 @@
 from ._weight_orders import ModelDemand, OrderableEngine, decide_loads
 
 POLL_INTERVAL_S: Final = 0.1
-# A load takes about a second; asked any earlier, the engine is still busy.
+# A load takes about one second; at an earlier check the engine would still be busy.
 FIRST_LOAD_CHECK_S: Final = 0.7
 LOAD_CHECK_INTERVAL_S: Final = 0.3
-# After an order without an answer, and after an order that the engine refused.
+# Delays after an order without a response, and after an order that the engine rejected.
 UNKNOWN_OUTCOME_DELAY_S: Final = 1.0
 REJECTED_BACKOFF_S: Final = 0.4
 ORDER_TIMEOUT_S: Final = 0.8
 
 
 class EngineReport(NamedTuple):
-    """What an engine says of its weights, a few hundred milliseconds old."""
+    """An engine's report on its weights; up to a few hundred milliseconds old."""
 
     versions: Mapping[str, int]
     busy: bool
@@ -38,7 +38,10 @@
 
 
 class Order(NamedTuple):
-    """An order to load a version; ``expected_orders`` must be what the engine accepted."""
+    """An order to load a version.
+
+    The engine accepts it only if it has accepted ``expected_orders`` orders before.
+    """
 
     model: str
     version: int
@@ -49,7 +52,7 @@
 
 
 class OrderOutcome(Enum):
-    """What an engine answered to an order."""
+    """The response of an engine to an order."""
 
     ACCEPTED = "accepted"
     HOLDS = "holds"
@@ -60,52 +63,52 @@
 
 
 class OrderChannel(Protocol):
-    """Orders and reports of engines."""
+    """Sends orders to engines and reads their reports."""
 
     async def report(self, target: Target) -> EngineReport | None:
-        """Return the engine's report, None if it gives none."""
+        """Return the engine's report, None if it is not available."""
         ...
 
     async def order(self, target: Target, order: Order, timeout_s: float) -> OrderOutcome:
-        """Send an order once."""
+        """Send an order once, without retries; UNKNOWN if no response arrives in ``timeout_s``."""
         ...
 
 
 class StepWork(Protocol):
-    """What the holder asks of the work that its orders are for, and tells it."""
+    """The steps that the orders serve: source of demand, and receiver of load events."""
 
     def demand(self, model: str, named_version: int) -> ModelDemand:
-        """Return what the steps of a model ask of the engines."""
+        """Return the demand of a model's steps."""
         ...
 
     def runs_by_engine(self, model: str) -> Mapping[str, int]:
-        """Return how many runs of a model each engine has."""
+        """Return the number of runs of a model by engine."""
         ...
 
     def version_of(self, target: Target, model: str) -> int:
-        """Return the highest version of a model that an engine is known to have."""
+        """Return the highest version of a model known to be loaded at an engine."""
         ...
 
     def note_version(self, instance: str, model: str, version: int) -> None:
-        """Take the version of a model that an engine itself reported."""
+        """Record the version of a model that an engine reported."""
         ...
 
     def is_slow(self, instance: str) -> bool:
-        """Whether an engine is too slow to count on it for the next step."""
+        """Whether an engine is too slow to be relied on for the next step."""
         ...
 
     def load_started(self, instance: str, model: str) -> None:
-        """Place no item of a model at an engine until its load is over."""
+        """Stop placing items of a model at an engine until its load has finished."""
         ...
 
     def load_finished(self, instance: str, model: str) -> None:
-        """Place items of a model at an engine again."""
+        """Resume placing items of a model at an engine."""
         ...
 
 
 @dataclass
 class _EngineModelState:
-    """What the holder knows of one model at one start of an engine."""
+    """What the holder knows about one model at one process of an engine."""
 
     started_at_ms: int
     key: tuple[str, str]
@@ -116,7 +119,7 @@
 
 
 class Orderer:
-    """Gives the orders of one service under one claim."""
+    """Issues the orders of one service under one claim."""
 
     def __init__(
         self,
@@ -130,7 +133,7 @@
         named: Callable[[str], int],
         work: StepWork,
     ) -> None:
-        """Order as ``holder`` what ``work`` asks for; ``named`` gives a model's newest version."""
+        """Issue orders as ``holder`` for ``work``; ``named`` returns a model's newest version."""
         self._service = service
         self._holder = holder
         self._routes = routes
@@ -146,13 +149,15 @@
         self._fenced = False
 
     async def run(self) -> None:
-        """Order for as long as the claim stands."""
+        """Issue orders until cancelled, or until an engine reports a newer claim."""
         try:
             while not self._fenced:
                 if self._holder.acts_now():
                     self._poll()
                 await asyncio.sleep(POLL_INTERVAL_S)
-            self._logger.warning("service=%s fenced; a newer holder orders", self._service)
+            self._logger.warning(
+                "service=%s fenced; a newer holder issues the orders", self._service
+            )
         finally:
             for task in list(self._order_tasks):
                 task.cancel()
@@ -201,12 +206,12 @@
         )
 
     def _refresh(self, target: Target, model: str, now_s: float) -> None:
-        """Take what is known of an engine's weights; look at a load that should be done."""
+        """Update the known version of an engine and check on a load that should be finished."""
         key = (target.instance, model)
         state = self._states.get(key)
         if state is None or state.started_at_ms != target.started_at_ms:
             state = self._states[key] = _EngineModelState(target.started_at_ms, key)
-            # An engine that starts again counts its orders anew.
+            # A restarted engine counts its accepted orders from zero.
             self._orders_accepted.pop(target.instance, None)
             self._work.load_finished(*key)
         state.version = max(state.version, self._work.version_of(target, model))
@@ -217,10 +222,10 @@
             self._spawn(self._check_load(target, model, state))
 
     def _note_version(self, state: _EngineModelState, version: int) -> None:
-        """Take what an engine said of itself.
+        """Record a version from the report of an engine.
 
-        Its registration says the same a second later, or not at all while the store is away,
-        and the items that wait for the version would wait with it.
+        Its registration shows the version a second later, and not at all while the store is
+        unavailable, which would delay the items that wait for the version.
         """
         state.version = max(state.version, version)
         self._work.note_version(*state.key, state.version)
@@ -235,7 +240,7 @@
         task.add_done_callback(self._order_tasks.discard)
 
     async def _check_load(self, target: Target, model: str, state: _EngineModelState) -> None:
-        """Ask an engine how far its load is."""
+        """Read the report of an engine to see whether its load has finished."""
         report = await self._channel.report(target)
         if report is None or not state.loading_version:
             return
@@ -244,8 +249,8 @@
         if state.version >= state.loading_version:
             self._finish_load(state)
         elif not report.busy:
-            # Nothing is being loaded: the order was not taken, or is still to come; in
-            # that case its condition fails once the next one was taken.
+            # No load is in progress: the order was not accepted or has not arrived yet. In the
+            # latter case its condition fails once the next order has been accepted.
             self._back_off(state, REJECTED_BACKOFF_S)
 
     async def _send_order(
--- a/samphirecleat/durable/_weight_demand.py
+++ b/samphirecleat/durable/_weight_demand.py
@@ -1,4 +1,4 @@
-"""What the steps of a model ask of the engines, from the steps that are known: pure."""
+"""Derives the demand of a model's steps on the engines from the known steps; pure functions."""
 
 import math
 from collections.abc import Sequence
@@ -8,32 +8,32 @@
 from ._planner import Shortage
 from ._weight_orders import MIN_READY_ENGINES, ModelDemand
 
-# A model's work is the largest of so many of its latest steps.
+# The work of a model is estimated as the largest of this many most recent steps.
 RECENT_STEPS: Final = 3
 
 
 def allowed_lag(open_steps: Sequence[StepState], previous_lag: int) -> int:
-    """Return by how many versions a step's oldest one is behind that of its asking.
+    """Return how many versions the minimum version of steps is behind the one at submission.
 
-    ``before`` is what was learned from earlier steps, and stands while none is open.
+    ``previous_lag`` is the result for earlier steps; it is returned while no step is open.
     """
     if not open_steps:
         return previous_lag
     newest = max((step.spec for step in open_steps), key=lambda spec: spec.number)
-    # Step k is asked for at version k, or at 1 for the first ones.
+    # Step k is submitted at version k, the first ones at version 1.
     return max(0, max(1, newest.number) - newest.min_version)
 
 
-def engines_for(items: int, places: int) -> int:
-    """Return how many engines of so many places a step of so many items fills."""
-    return max(MIN_READY_ENGINES, math.ceil(items / max(1, places)))
+def engines_for(items: int, slots: int) -> int:
+    """Return how many engines with ``slots`` slots each a step of ``items`` items fills."""
+    return max(MIN_READY_ENGINES, math.ceil(items / max(1, slots)))
 
 
-def engines_wanted(known_steps: Sequence[StepState], places: int) -> int:
-    """Return how many engines of so many places a step of a model fills, by the latest ones."""
+def engines_wanted(known_steps: Sequence[StepState], slots: int) -> int:
+    """Return how many engines with ``slots`` slots each a step fills, judged by recent steps."""
     latest = sorted(known_steps, key=lambda step: step.folded_at_s)[-RECENT_STEPS:]
     items = max((len(step.item_ids) for step in latest), default=0)
-    return engines_for(items, places)
+    return engines_for(items, slots)
 
 
 def model_demand(
@@ -46,9 +46,9 @@
     keeps_runs: bool,
     shortage: Shortage | None,
 ) -> ModelDemand:
-    """Return a model's demand; steps accept ``lag`` versions less than that of their asking.
+    """Return the demand of a model whose steps accept ``lag`` versions before their own.
 
-    ``open_min_versions`` holds the oldest version that each open step accepts.
+    ``open_min_versions`` holds the minimum version of each open step.
     """
     return ModelDemand(
         model,
--- a/samphirecleat/durable/_weight_orders.py
+++ b/samphirecleat/durable/_weight_orders.py
@@ -1,36 +1,39 @@
-"""Which engines are ordered to load which model's version now: a pure decision.
-
-Load pattern answered: several models share the engines. A version of each is named every
-few seconds, and the step that is asked for then still accepts the version before it, so an
-engine that loads a version serves two steps with it. Loads slow each other down beyond a
-number at once that nobody tells, and all engines loading every version would need more. So a
-model keeps as many engines ready for its next step as its work takes, and the others take the
-version after: each engine loads every second version. Loads go to the model
-whose waiting work has the least time left, then to the one that has the smallest part of its
-engines ready. A load that keeps runs holds up none of them: only new items of its model find
-no place at that engine meanwhile, so engines that no item of the model can use go first. One
-that waits for the runs of its model goes to engines that run none of it.
+"""Decides which engines load the newest version of which model; pure functions.
+
+Several models share the engines. A new version of each model is published every few seconds, and
+the step submitted then still accepts the previous version, so an engine that loads a version
+serves two steps with it. Concurrent loads slow each other down beyond a number that is not
+known, and loading every version at all engines would exceed it. Therefore a model keeps only as
+many engines ready for its next step as its work requires, and the other engines load the version
+after: each engine loads every second version.
+
+Loads are assigned first to the model whose waiting work has the least time left, then to the
+model with the smallest share of its engines ready. A load that keeps runs does not delay them;
+only new items of its model cannot be placed at the engine meanwhile, so engines that no item of
+the model can use are chosen first. A load that waits for the runs of its model is assigned to
+engines that run none of it.
 """
 
 import math
 from collections.abc import Mapping, Sequence
 from typing import Final, NamedTuple
 
-# Of the engines, this share may load at once. An engine that loads takes no new item of the model,
-# and every load beyond what the weight store serves at full pace holds up the most urgent one.
+# Share of the engines that may load concurrently. A loading engine accepts no new items of its
+# model, and each load beyond the full-speed capacity of the weight store delays the most urgent.
 MAX_LOADING_SHARE: Final = 0.4
-# With one engine lost the others still serve the next step at once.
+# If one engine is lost, the other still serves the next step without a load.
 MIN_READY_ENGINES: Final = 2
 
 
 class ModelDemand(NamedTuple):
-    """What a model's steps ask of the engines.
-
-    Open steps accept ``needed_version`` and newer, the step after them ``next_version``,
-    which is never above ``named_version``. ``wanted_engines`` is how many the next step takes.
-    ``keeps_runs`` says that runs go on under the version that their engine loads.
-    An item ``waits`` if no engine has a version and a place for it; it is ``pressed`` if it
-    will be late unless it starts soon. ``spare_s`` is what the most urgent of them has left.
+    """The demand of a model's steps on the engines.
+
+    Open steps accept ``needed_version`` and newer, the step after them ``next_version``, which
+    is never above ``named_version``, the newest published one. ``wanted_engines`` is the number
+    of engines that the next step fills. ``keeps_runs`` tells that runs continue while their
+    engine loads. ``waits`` is set if no engine has both a suitable version and a free slot for
+    some item, ``pressed`` if such an item will be late unless it starts soon. ``spare_s`` is the
+    slack of the most urgent waiting item in seconds.
     """
 
     model: str
@@ -45,9 +48,10 @@
 
 
 class OrderableEngine(NamedTuple):
-    """An engine as the holder of the duty sees it; ``loading`` names a model or is empty.
+    """The state of an engine as known to the holder of the duty.
 
-    ``versions`` and ``runs`` are by model. Outcomes that are unknown count as loading.
+    ``versions`` and ``runs`` are by model. ``loading`` is the model being loaded, "" for none;
+    an order with an unknown outcome counts as loading.
     """
 
     instance: str
@@ -59,7 +63,7 @@
 
 
 class Load(NamedTuple):
-    """An order to give: ``instance`` is to load the newest version of ``model``."""
+    """A load to order: ``instance`` loads the newest version of ``model``."""
 
     instance: str
     model: str
@@ -68,7 +72,7 @@
 def decide_loads(
     engines: Sequence[OrderableEngine], demands: Sequence[ModelDemand]
 ) -> Sequence[Load]:
-    """Return the loads to order now, the most urgent first."""
+    """Return the loads to order now, in descending order of urgency."""
     free = max_concurrent_loads(len(engines)) - sum(bool(engine.loading) for engine in engines)
     views = {engine.instance: engine for engine in engines}
     loads: list[Load] = []
@@ -84,22 +88,22 @@
 
 
 def max_concurrent_loads(engines: int) -> int:
-    """Return how many of so many engines may load at once.
+    """Return how many of ``engines`` engines may load concurrently.
 
-    Rounded to the nearest: a service that loses one of five engines would else load one at a
-    time, and each version would come a load's time later at every further engine.
+    Rounds to the nearest integer. If it rounded down, a service that loses one of five engines
+    would load one at a time, and each further engine would get a version one load time later.
     """
     return max(1, round(engines * MAX_LOADING_SHARE))
 
 
-# Lower comes first: the class, what orders within it, and the share of the engines ready.
+# Lower values are more urgent: the class, then two sort keys within the class.
 _Urgency = tuple[int, float, float]
 
 
 def _next_load(
     engines: Sequence[OrderableEngine], demand: ModelDemand, demands: Sequence[ModelDemand]
 ) -> tuple[_Urgency, Load] | None:
-    """Return a model's next load and how urgent it is, or None if it wants no load."""
+    """Return the next load of a model and its urgency, or None if it needs no load."""
     model = demand.model
     usable = [e for e in engines if _has(e, model, demand.needed_version)]
     ready = [e for e in engines if not e.slow and _has(e, model, demand.next_version)]
@@ -112,7 +116,7 @@
         urgency = (2, ready_share, 0.0)
     else:
         return None
-    # While something can serve the open steps, their runs are not held up.
+    # While any engine can serve the open steps, their runs are not delayed.
     may_delay_runs = demand.pressed or not usable
     behind_version = demand.needed_version if ready_share >= 1.0 else demand.next_version
     candidates = [
@@ -121,7 +125,7 @@
         if not engine.loading
         and not engine.backing_off
         and engine.versions.get(model, 0) < min(behind_version, demand.named_version)
-        # Where items wait for places, a load would take some of them away.
+        # While items wait for slots, a load at a usable engine would make its slots unavailable.
         and not (demand.waits and engine.versions.get(model, 0) >= demand.needed_version)
         and (
             demand.keeps_runs
@@ -133,8 +137,8 @@
         return None
 
     def cost(engine: OrderableEngine) -> tuple[bool, int, bool, int, int, int, str]:
-        # Models are spread over the engines, so that the first items of steps that are asked
-        # for together do not meet at the same places.
+        # Spreads the models over the engines, so that the first items of steps that are submitted
+        # together do not compete for the same slots.
         others = sum(_has(engine, d.model, d.next_version) for d in demands if d.model != model)
         version = engine.versions.get(model, 0)
         runs = engine.runs.get(model, 0)
@@ -146,7 +150,7 @@
 
 
 def _has(engine: OrderableEngine, model: str, version: int) -> bool:
-    """Whether an engine has a version of a model or newer, or soon will."""
+    """Whether an engine has a version of a model or a newer one, or is loading it."""
     if engine.loading == model:
         return True
     return engine.versions.get(model, 0) >= version
