--- a/tests/durable/memory_log.py
+++ b/tests/durable/memory_log.py
@@ -1,4 +1,4 @@
-"""A keyed log in memory, with the failures that the platform's store may show."""
+"""An in-memory keyed log that simulates the failures of the platform's store."""
 
 import asyncio
 from collections import defaultdict
@@ -18,10 +18,11 @@
 
 
 class MemoryTopic:
-    """One topic's entries; ``answers`` says what becomes of the next appends.
+    """The entries of one topic; ``answers`` holds the outcomes of the next appends.
 
-    ``lost``: done and not answered. ``late``: not answered, done by :meth:`catch_up`.
-    ``refused``: nothing is done. An empty list: all works. An append waits for the ``gate``.
+    ``lost``: applied, but the response is lost. ``late``: no response, applied by
+    :meth:`catch_up`. ``refused``: not applied. Appends succeed once the list is empty.
+    An append blocks until the ``gate`` event is set.
     """
 
     def __init__(self) -> None:
@@ -86,7 +87,7 @@
         return result
 
     def do_append(self, entries: Sequence[tuple[str, bytes]], at: int) -> AppendResult:
-        """Append now, whatever is to be answered."""
+        """Apply an append immediately, independent of its simulated response."""
         if at != UNCONDITIONAL and at != self.end:
             return AppendResult(AppendOutcome.CONDITION_FAILED)
         offset = self.end
@@ -98,25 +99,25 @@
         return AppendResult(AppendOutcome.APPENDED, offset)
 
     def catch_up(self) -> None:
-        """Carry out the appends that are late."""
+        """Apply the delayed appends."""
         delayed, self._delayed_appends = self._delayed_appends, []
         for entries, at in delayed:
             self.do_append(entries, at)
 
     def compact(self) -> None:
-        """Drop every record that is not the newest of its key from what can be read on."""
+        """Simulate compaction: earlier entries remain readable only as the newest of their key."""
         self.first_kept = self.end
 
 
 class MemoryLog(MemoryTopic):
-    """A keyed log: the topic of steps, and the others under ``topics``."""
+    """A keyed log; it is itself the step topic and holds the others in ``topics``."""
 
     def __init__(self) -> None:
         super().__init__()
         self.topics: defaultdict[str, MemoryTopic] = defaultdict(MemoryTopic)
 
     def topic(self, name: str) -> MemoryTopic:
-        """Return a topic; all of them are down with the log."""
+        """Return a topic; while the log is down, all its topics are."""
         if name == STEP_TOPIC:
             return self
         topic = self.topics[name]
--- a/tests/durable/steps.py
+++ b/tests/durable/steps.py
@@ -1,4 +1,4 @@
-"""Steps, items and results for tests."""
+"""Factories of steps, items and results for tests."""
 
 from samphirecleat.durable import (
     FinishedItem,
@@ -35,12 +35,12 @@
 
 
 def accepted(request: StepRequest) -> StepAccepted:
-    """Return the record of a step whose items stand somewhere."""
+    """Return the record of a step whose items are stored separately."""
     return accepted_record(request, TextRef(0, 0, 1, "items", 4, 4))
 
 
 def listed(step_id: str, item_id: str, text_key: str = "text") -> ResultsListed:
-    """Return the record of one result whose text stands under a key."""
+    """Return the record of one result whose text is stored under ``text_key``."""
     ref = TextRef(0, 7, 1, text_key, 4, 4)
     return ResultsListed(step_id, [ItemListed(item_id, [1], "sig", ref)])
 
--- a/tests/durable/test_crash_records.py
+++ b/tests/durable/test_crash_records.py
@@ -1,4 +1,4 @@
-"""Calls that end their targets, as the log keeps them: through restarts, written once."""
+"""Tests of the records of calls that crash their targets: restarts, duplicates, failures."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class Node:
-    """A node's ledger and records over a shared log."""
+    """A node with its own ledger and crash records, on a shared log."""
 
     def __init__(self, log: MemoryLog, seed: int) -> None:
         self.ledger = CrashLedger()
@@ -63,8 +63,8 @@
     return log.topic(CRASH_TOPIC).appends
 
 
-def test_a_refused_call_stays_refused_after_every_node_is_lost() -> None:
-    """All nodes lose power while a request that crashes its targets still comes back."""
+def test_refused_call_stays_refused_after_loss_of_all_nodes() -> None:
+    """All nodes lose power while a request that crashes its targets is still being retried."""
 
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         fleet[0].end_runs("a", "b", "c")
@@ -80,7 +80,7 @@
     run_fleet(body)
 
 
-def test_ends_that_refused_nothing_yet_are_counted_after_a_restart_with_the_next_one() -> None:
+def test_earlier_crashes_count_after_a_restart() -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         fleet[0].end_runs("a", "b")
         await until(lambda: appends(log) == 1)
@@ -94,8 +94,8 @@
     run_fleet(body)
 
 
-def test_one_end_is_not_written_and_several_are_written_once_by_all_nodes() -> None:
-    """Each crash of a busy target is one end for all its calls: the log's rate is not for those."""
+def test_single_crash_is_not_recorded_and_several_are_recorded_once() -> None:
+    """Guards against a record per call of a crashed busy target, which would exhaust the log."""
 
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         for node in fleet:
@@ -112,7 +112,7 @@
     run_fleet(body, nodes=5)
 
 
-def test_a_record_whose_writers_are_lost_is_written_by_another_node() -> None:
+def test_record_of_lost_nodes_is_written_by_another_node() -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         fleet[0].ledger.note_end(CALL, RunEnd("a", 0.0, 1.0, "lost"), 2.0)
         fleet[0].ledger.note_end(CALL, RunEnd("b", 1.0, 2.0, "lost"), 2.0)
@@ -122,7 +122,7 @@
     run_fleet(body)
 
 
-def test_a_log_that_takes_nothing_is_asked_less_and_less_often() -> None:
+def test_rejected_appends_are_retried_with_backoff() -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         log.topic(CRASH_TOPIC).answers = ["refused"] * 100
         fleet[0].end_runs("a", "b")
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("answer", ["refused", "lost", "late"])
-def test_a_record_that_the_log_did_not_answer_for_is_written_again(answer: str) -> None:
+def test_unconfirmed_record_is_written_again(answer: str) -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         log.topic(CRASH_TOPIC).answers = [answer]
         fleet[0].end_runs("a", "b")
@@ -143,7 +143,7 @@
     run_fleet(body)
 
 
-def test_an_answer_drops_the_record_everywhere() -> None:
+def test_successful_call_deletes_the_record_at_all_nodes() -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         fleet[0].end_runs("a", "b", "c")
         await until(lambda: len(fleet[1].ledger.suspects) == 1)
@@ -155,7 +155,7 @@
     run_fleet(body)
 
 
-def test_a_record_that_is_none_is_passed_over() -> None:
+def test_malformed_record_is_skipped() -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         await log.append(CRASH_TOPIC, [("no mark", b"{"), (CALL.hex(), b"[1]")])
         fleet[0].end_runs("a", "b")
--- a/tests/durable/test_fold.py
+++ b/tests/durable/test_fold.py
@@ -1,4 +1,4 @@
-"""The fold of the step log: the same for every reader, whatever writers and the log do."""
+"""Tests of the fold of the step log: it is the same for every reader, despite failures."""
 
 import pytest
 from hypothesis import strategies as st
@@ -14,7 +14,7 @@
 
 
 def fold_of(entries: list[LogEntry]) -> StepFold:
-    """Fold entries as a node does that starts now."""
+    """Fold entries as a newly started node does."""
     fold, assembler = StepFold(), RecordAssembler()
     for entry in entries:
         record = assembler.add(entry.key, entry.value)
@@ -24,7 +24,7 @@
 
 
 def positions(fold: StepFold) -> dict[str, list[tuple[str, str]]]:
-    """Return what trainers could read of each step."""
+    """Return the results that trainers can read of each step, in order."""
     return {
         step_id: [(r.item_id, r.text.key if r.text else "") for r in state.results]
         for step_id, state in fold.steps.items()
@@ -32,14 +32,13 @@
 
 
 class StepLogMachine(RuleBasedStateMachine):
-    """Writers of two nodes; their appends are done, done twice, done late, or lost.
+    """Two nodes write; their appends are applied once, twice, late, or never.
 
-    A trainer that read a position must read the same there for ever, at any node: at one
-    that followed the log, at one that reads the whole history, and at one that has only
-    the newest record of each key.
+    A position that a trainer has read must never change, at any node: one that followed the
+    log, one that reads the whole history, and one that reads only the newest entry of each key.
     """
 
-    late = Bundle("late")
+    delayed = Bundle("delayed")
 
     def __init__(self) -> None:
         super().__init__()
@@ -72,12 +71,12 @@
         for _ in range(times):
             self.append(listed(step_id, f"{step_id}-{number}", f"by {writer}"))
 
-    @rule(target=late, step_id=st.sampled_from(STEPS), number=st.integers(0, ITEMS - 1))
-    def send_late(self, step_id: str, number: int) -> Record:
+    @rule(target=delayed, step_id=st.sampled_from(STEPS), number=st.integers(0, ITEMS - 1))
+    def send_delayed(self, step_id: str, number: int) -> Record:
         return listed(step_id, f"{step_id}-{number}", "late")
 
-    @rule(record=late)
-    def take_effect(self, record: Record) -> None:
+    @rule(record=delayed)
+    def apply_delayed(self, record: Record) -> None:
         self.append(record)
 
     @rule(step_id=st.sampled_from(STEPS))
@@ -90,13 +89,13 @@
         replaces = held.offset if held else -1
         self.append(RunnerClaimed("svc", node, f"inc-{node}", replaces))
 
-    @rule(target=late, node=st.sampled_from(["a", "b"]))
-    def claim_late(self, node: str) -> Record:
+    @rule(target=delayed, node=st.sampled_from(["a", "b"]))
+    def claim_delayed(self, node: str) -> Record:
         held = self.followed.claims.get("svc")
         return RunnerClaimed("svc", node, f"late-{node}", held.offset if held else -1)
 
     @invariant()
-    def every_reader_sees_the_same(self) -> None:
+    def all_readers_agree(self) -> None:
         whole = fold_of(self.entries)
         newest = {entry.key: entry for entry in self.entries}
         compacted = fold_of(sorted(newest.values()))
@@ -104,7 +103,7 @@
         assert self.followed.claims == whole.claims == compacted.claims
 
     @invariant()
-    def nothing_read_ever_moves(self) -> None:
+    def read_positions_never_change(self) -> None:
         now = positions(self.followed)
         for step_id, rows in self.read_before.items():
             assert now[step_id][: len(rows)] == rows
@@ -116,7 +115,7 @@
 
 
 @pytest.mark.parametrize(
-    ("records", "want"),
+    ("records", "expected"),
     [
         ([listed("s1", "s1-0")], {}),
         ([accepted(step("s1")), listed("s1", "other")], {"s1": []}),
@@ -126,15 +125,17 @@
     ],
     ids=["no step", "no such item", "listed twice", "after the end", "accepted twice"],
 )
-def test_what_counts(records: list[Record], want: dict[str, list[str]]) -> None:
+def test_only_valid_records_take_effect(
+    records: list[Record], expected: dict[str, list[str]]
+) -> None:
     fold = StepFold()
     for offset, record in enumerate(records):
         fold.apply(record, offset, 0.0)
     kept = {name: [r.text.key for r in s.results if r.text] for name, s in fold.steps.items()}
-    assert kept == want
+    assert kept == expected
 
 
-def test_an_ended_step_is_forgotten_only_after_its_time() -> None:
+def test_steps_are_forgotten_after_their_retention() -> None:
     fold = StepFold()
     fold.apply(accepted(step("s1")), 0, 0.0)
     fold.apply(accepted(step("s2")), 1, 0.0)
@@ -145,7 +146,7 @@
     assert fold.forget_before(501.0, 60.0, 500.0) == ["s2"]
 
 
-def test_a_claim_names_who_held_the_service_before() -> None:
+def test_claim_holds_the_previous_node() -> None:
     fold = StepFold()
     for offset, node in enumerate(["a", "a", "b"]):
         fold.apply(RunnerClaimed("svc", node, f"{node}{offset}", offset - 1), offset, 0.0)
@@ -153,10 +154,10 @@
     assert fold.claims["svc"].offset == 2
 
 
-def test_a_claim_that_takes_effect_late_changes_nothing() -> None:
-    """The store carries a claim out seconds later, when another node has taken over.
+def test_delayed_claim_has_no_effect() -> None:
+    """The store applies a claim seconds late, after another node has taken over.
 
-    Were it to count, the service would move once more, and every text in the making with it.
+    If it were valid, the service would move again, together with every running generation.
     """
     fold = StepFold()
     fold.apply(RunnerClaimed("svc", "a", "a0", -1), 0, 0.0)
--- a/tests/durable/test_item_shelf.py
+++ b/tests/durable/test_item_shelf.py
@@ -1,4 +1,4 @@
-"""Items of steps stand apart from the steps, and are read by those who need them."""
+"""Tests of the item store: items are stored separately from steps and read on demand."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
 
 
 def large_step(items: int) -> StepRequest:
-    """Return a step whose bodies hardly shrink, as those of trainers do."""
+    """Return a step whose bodies hardly compress, like those of trainers."""
     rng = random.Random(1)
     rows = [
         ItemSpec(f"{rng.getrandbits(64):016x}", "/run/1", [], rng.randbytes(600), 9, 9, 9, "g")
@@ -37,17 +37,17 @@
     return step("s1")._replace(items=rows)
 
 
-def test_what_every_node_reads_of_a_step_is_small() -> None:
-    """Hundreds of nodes fold every step, and after a loss of all power all steps at once.
+def test_step_record_without_items_is_small() -> None:
+    """Hundreds of nodes fold every step, and after a power loss all steps at once.
 
-    With the items in it a step of two hundred is some hundred kilobytes, and the store sends
-    megabytes to each node before the fleet serves again.
+    With its items, a step of 200 items takes about 100 kB, and the store would have to send
+    megabytes to each node before the fleet could serve again.
     """
     request = large_step(200)
     assert len(encode_record(accepted(request))) < 200 * 24
 
 
-def test_any_node_gives_an_items_body() -> None:
+def test_every_node_returns_item_bodies() -> None:
     async def body() -> None:
         log = MemoryLog()
         async with following(log) as writer, following(log, "inc00002") as other:
@@ -69,11 +69,11 @@
 
 
 @pytest.mark.parametrize("answer", ["refused", "lost", "late"])
-def test_a_step_whose_items_may_not_be_kept_is_not_kept(answer: str) -> None:
-    """The log refuses the items of a step, or its answer to them is lost.
+def test_step_with_unconfirmed_items_is_not_stored(answer: str) -> None:
+    """The log rejects the items of a step, or its response is lost.
 
-    A step without its items could never be made, and its trainer would wait for it in vain.
-    Told that it is not kept, the trainer submits it again, and it is kept once.
+    A step without items could never run, and its trainer would wait until the timeout. A trainer
+    that is told "not run" submits the step again, and the step is stored once.
     """
 
     async def body() -> None:
@@ -95,10 +95,11 @@
     asyncio.run(body())
 
 
-def test_a_lost_answer_to_its_items_does_not_refuse_a_step() -> None:
-    """Now and then the store does an append and its answer is lost.
+def test_lost_response_to_items_does_not_reject_the_step() -> None:
+    """The store occasionally applies an append and loses the response.
 
-    A step refused for that is submitted again a moment later, and some trainers do so only once.
+    If the step were rejected for that, the trainer would have to resubmit it, and some trainers
+    do so only once.
     """
 
     async def body() -> None:
@@ -113,10 +114,10 @@
     asyncio.run(body())
 
 
-def test_a_runner_reads_items_as_soon_as_the_log_lets_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A runner takes a step over while the log answers nothing for a moment.
+def test_runner_retries_reading_items(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A runner takes over a step while the log is briefly unavailable.
 
-    One that did not ask again would leave the step standing until its trainer gives up.
+    Without a retry the step would make no progress until its trainer abandons it.
     """
     attempts: list[int] = []
 
@@ -137,8 +138,8 @@
     assert len(attempts) == 3
 
 
-def test_a_small_fleet_needs_one_append_for_a_step() -> None:
-    """While the store loses answers, each further call of a submission may cost a second."""
+def test_small_fleet_needs_one_append_per_step() -> None:
+    """While the store loses responses, each further call of a submission may take a second."""
 
     async def body() -> None:
         log = MemoryLog()
--- a/tests/durable/test_listing.py
+++ b/tests/durable/test_listing.py
@@ -1,4 +1,4 @@
-"""Results are listed after their texts, once, whatever the log does in between."""
+"""Tests of the result lister: results are listed once and after their texts, despite failures."""
 
 import asyncio
 
@@ -16,13 +16,13 @@
 
 @pytest.mark.parametrize("texts", [[], ["lost"], ["refused", "late"]], ids=str)
 @pytest.mark.parametrize("rows", [[], ["lost"], ["refused"]], ids=str)
-def test_a_listed_result_always_has_its_text(
+def test_listed_result_always_has_its_text(
     texts: list[str], rows: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The log loses the answer to an append of texts, or of the results that name them.
+    """The log loses the response to an append of texts, or of the results that refer to them.
 
-    A result that named a text which is not there could be read by nobody, and its trainer
-    would wait for it until the step's end.
+    A result that refers to a missing text could not be read at any node, and its trainer would
+    wait for it until the end of the step.
     """
     monkeypatch.setattr(listing_module, "RETRY_DELAY_S", 0.01)
 
@@ -49,7 +49,7 @@
     asyncio.run(body())
 
 
-def test_a_text_that_is_written_is_not_written_again_when_its_listing_fails(
+def test_failed_listing_does_not_write_the_text_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(listing_module, "RETRY_DELAY_S", 0.01)
@@ -70,7 +70,7 @@
     asyncio.run(body())
 
 
-def test_what_a_step_no_longer_wants_is_not_listed() -> None:
+def test_results_of_an_ended_step_are_not_listed() -> None:
     async def body() -> None:
         log = MemoryLog()
         async with following(log) as step_log:
@@ -88,10 +88,10 @@
 
 
 @pytest.mark.parametrize(("character", "appends"), [("a", 1), ("ä", 2)])
-def test_one_append_holds_no_more_than_the_log_takes(character: str, appends: int) -> None:
-    """Long texts in another script end together; each character is several bytes.
+def test_append_size_stays_below_the_limit_of_the_log(character: str, appends: int) -> None:
+    """Several long non-ASCII texts finish together; each character takes several bytes.
 
-    An append that is too large is refused each time it is tried, and nothing is listed again.
+    An append that is too large is rejected at every attempt, which would block all listing.
     """
 
     async def body() -> None:
@@ -110,8 +110,8 @@
     asyncio.run(body())
 
 
-async def with_two_steps(log: MemoryLog, step_log: StepLog) -> None:
-    """Accept two steps whose texts stand in topics of their own."""
+async def accept_two_steps(log: MemoryLog, step_log: StepLog) -> None:
+    """Accept two steps whose texts are stored in different topics."""
     assert shard_of("s1") != shard_of("s2")
     await until(lambda: step_log.caught_up)
     for name in ("s1", "s2"):
@@ -120,16 +120,16 @@
     log.appends = 0
 
 
-def test_a_step_is_listed_beside_texts_of_another_that_are_being_written() -> None:
-    """One step's long texts go to the log slowly when the last text of another is whole.
+def test_listing_does_not_wait_for_texts_of_another_step() -> None:
+    """The last text of one step is complete while long texts of another are written slowly.
 
-    Behind them it would be listed late, and its trainer waits for nothing else.
+    If its listing waited for them, the trainer of the first step would be delayed.
     """
 
     async def body() -> None:
         log = MemoryLog()
         async with following(log) as step_log:
-            await with_two_steps(log, step_log)
+            await accept_two_steps(log, step_log)
             log.topics[topic_of(shard_of("s1"))].gate.clear()
             step_log.list_result(finished("s1", "s1-0"))
             step_log.list_result(finished("s2", "s2-0"))
@@ -141,16 +141,16 @@
     asyncio.run(body())
 
 
-def test_what_became_ready_during_an_append_is_listed_in_the_next_one() -> None:
-    """The store answers slowly while results of several steps come in.
+def test_results_ready_during_an_append_share_the_next_one() -> None:
+    """The store responds slowly while results of several steps become ready.
 
-    With an append for each step in turn, the last of them would wait for all the others.
+    With one append per step in turn, the last step would wait for all the others.
     """
 
     async def body() -> None:
         log = MemoryLog()
         async with following(log) as step_log:
-            await with_two_steps(log, step_log)
+            await accept_two_steps(log, step_log)
             log.gate.clear()
             step_log.list_result(finished("s1", "s1-0"))
             await until(lambda: log.appends == 1)
--- a/tests/durable/test_orderer.py
+++ b/tests/durable/test_orderer.py
@@ -1,4 +1,4 @@
-"""Orders of versions: late, lost, fenced, and after another holder."""
+"""Tests of weight orders: lost responses, fencing, unconfirmed claims and changes of holder."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -23,7 +23,7 @@
 
 
 class FakeEngines:
-    """Engines that load at once, or answer as told."""
+    """Engines that load immediately, or return the responses in ``answers``."""
 
     def __init__(self) -> None:
         self.versions: dict[str, int] = {}
@@ -50,7 +50,7 @@
 
 
 class FakeWork:
-    """Steps that want every engine to have the newest version; nothing runs."""
+    """Steps that need the newest version at every engine; no items run."""
 
     def __init__(self) -> None:
         self.loading: set[tuple[str, str]] = set()
@@ -110,7 +110,7 @@
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_intervals(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in (
         "POLL_INTERVAL_S",
         "FIRST_LOAD_CHECK_S",
@@ -122,18 +122,18 @@
     monkeypatch.setattr("samphirecleat.durable._orderer.ORDER_TIMEOUT_S", 0.05)
 
 
-def test_every_engine_is_ordered_once_under_the_claims_number() -> None:
+def test_every_engine_gets_one_order_with_the_fencing_number() -> None:
     engines = FakeEngines()
     run_orderer(make_orderer(engines), lambda: len(engines.versions) == 3, 0.1)
     assert sorted(name for name, _ in engines.orders) == ["e1", "e2", "e3"]
     assert {order.fencing_number for _, order in engines.orders} == {41}
 
 
-def test_an_order_without_an_answer_is_repeated_under_the_same_condition() -> None:
-    """An engine takes an order late, or never; its answer does not come.
+def test_order_without_response_is_repeated_with_the_same_condition() -> None:
+    """An engine receives an order late or never, and no response arrives.
 
-    The order that follows expects the same count of accepted orders, so only one of the two
-    can take effect, and the engine does not load twice.
+    The next order expects the same count of accepted orders, so only one of the two is accepted,
+    and the engine does not load twice.
     """
     engines = FakeEngines()
     engines.answers = [OrderOutcome.UNKNOWN]
@@ -143,10 +143,10 @@
     assert same == [0, 0]
 
 
-def test_a_fenced_holder_orders_no_more() -> None:
-    """Another node holds a newer claim, and an engine says so.
+def test_fenced_holder_stops_issuing_orders() -> None:
+    """An engine reports that another node holds a newer claim.
 
-    A holder that went on would be refused for ever, and its orders would cost the engines.
+    A holder that continued would be rejected every time, and its orders would load the engines.
     """
     engines = FakeEngines()
     engines.answers = [OrderOutcome.FENCED] * 9
@@ -154,8 +154,8 @@
     assert len(engines.orders) <= 2
 
 
-def test_nothing_is_ordered_while_the_claim_is_not_confirmed() -> None:
-    """The holder stood still, or can't reach the log: another may hold the service by now."""
+def test_no_orders_while_the_claim_is_unconfirmed() -> None:
+    """The holder was suspended or cannot reach the log, so another may hold the service by now."""
     engines = FakeEngines()
     confirmed: list[bool] = []
     orderer = make_orderer(engines, may_order=lambda _s: bool(confirmed.append(True)))
@@ -163,7 +163,9 @@
     assert engines.orders == []
 
 
-def test_a_holder_after_another_waits_out_its_lease(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_new_holder_waits_for_the_lease_of_the_previous_one(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     now = [100.0]
     monkeypatch.setattr("samphirecleat.durable._duty.boot_time_s", lambda: now[0])
     engines, looked = FakeEngines(), []
@@ -183,11 +185,10 @@
     asyncio.run(body())
 
 
-def test_what_an_engine_reports_reaches_the_planner_without_the_store() -> None:
-    """The store is away, so that engines can't register the version that they have loaded.
+def test_engine_reports_reach_the_planner_during_a_store_outage() -> None:
+    """The store is unavailable, so engines cannot register the version that they have loaded.
 
-    Items that accept only that version would wait for the store, beside engines that are
-    ready for them.
+    Items that require that version would wait for the store although engines are ready.
     """
     engines, work = FakeEngines(), FakeWork()
     run_orderer(make_orderer(engines, work), lambda: len(work.noted) == 3 and not work.loading)
--- a/tests/durable/test_retention.py
+++ b/tests/durable/test_retention.py
@@ -1,4 +1,4 @@
-"""Old steps leave the log, and nothing else does."""
+"""Tests that expired steps, and only these, are deleted from the log."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 from .test_step_log import following
 
 
-async def fill(step_log: StepLog, step_id: str) -> None:
+async def submit_step_with_result(step_log: StepLog, step_id: str) -> None:
     await step_log.accept(step(step_id, 2))
     await until(lambda: step_id in step_log.fold.steps)
     step_log.list_result(finished(step_id, f"{step_id}-0", "a text"))
@@ -30,13 +30,13 @@
     return sum(bool(value) for values in newest for value in values.values())
 
 
-@pytest.mark.parametrize("away_at_first", [False, True])
-def test_an_ended_step_is_dropped_and_an_open_one_stays(
-    away_at_first: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("log_down_at_first", [False, True])
+def test_ended_step_is_deleted_and_open_step_remains(
+    log_down_at_first: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A fleet serves steps for hours over a store of a few hundred megabytes.
+    """A fleet serves steps for hours with a store of a few hundred megabytes.
 
-    When it is full it takes no appends, and every trainer's step is refused.
+    A full store rejects all appends, and therefore all new steps.
     """
     monkeypatch.setattr(step_log_module, "ENDED_STEP_RETENTION_S", 0.0)
     monkeypatch.setattr(retention_module, "SWEEP_INTERVAL_S", 0.02)
@@ -45,20 +45,20 @@
         log = MemoryLog()
         async with following(log) as step_log:
             await until(lambda: step_log.caught_up)
-            await fill(step_log, "open")
+            await submit_step_with_result(step_log, "open")
             only_open = kept_keys(log)
-            await fill(step_log, "old")
+            await submit_step_with_result(step_log, "old")
             assert kept_keys(log) > only_open
             await step_log.end("old")
             await until(lambda: step_log.fold.steps["old"].ended)
-            # The next record that is folded has the fold look for what is old.
+            # Expired steps are forgotten when the next record is folded.
             await step_log.accept(step("open", 2))
             await until(lambda: "old" not in step_log.fold.steps)
-            log.down = away_at_first
+            log.down = log_down_at_first
             sweep = asyncio.ensure_future(drop_forgotten_steps(step_log, Observer("n1")))
             await asyncio.sleep(0.1)
             log.down = False
-            # Two records more than before: the open step was submitted twice, with its items.
+            # Two more records than before, because the open step and its items were written twice.
             await until(lambda: kept_keys(log) == only_open + 2)
             sweep.cancel()
         async with following(log, "inc00002") as cold:
--- a/tests/durable/test_step_log.py
+++ b/tests/durable/test_step_log.py
@@ -1,4 +1,4 @@
-"""The step log at a node: lost answers, late appends, forgotten history, a store that is away."""
+"""Tests of the step log at a node: lost responses, delayed appends, compaction, store outages."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 
 @asynccontextmanager
 async def following(log: MemoryLog, incarnation: str = "inc00001") -> AsyncIterator[StepLog]:
-    """Run a step log over ``log`` until the block ends."""
+    """Run a step log on ``log`` while the context is active."""
     step_log = StepLog(log, incarnation, Observer("n1"), random.Random(1))
     task = asyncio.ensure_future(step_log.run())
     try:
@@ -28,15 +28,15 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-def run(body: Callable[[], object]) -> None:
+def run_async(body: Callable[[], object]) -> None:
     asyncio.run(body())  # type: ignore[arg-type]
 
 
-def test_a_step_whose_append_got_no_answer_is_kept_once_it_shows_in_the_log() -> None:
-    """The log does an append and the answer is lost on the way.
+def test_step_is_accepted_when_its_append_response_is_lost() -> None:
+    """The log applies an append and its response is lost.
 
-    A caller that were told "not run" would submit the step again under another id, and it
-    would be made twice.
+    If the caller were told "not run", it would submit the step again under another ID, and the
+    step would run twice.
     """
 
     async def body() -> None:
@@ -47,7 +47,7 @@
             await StepAccess(step_log).submit(step("s1"))
             assert "s1" in step_log.fold.steps
 
-    run(body)
+    run_async(body)
 
 
 @pytest.mark.parametrize(
@@ -57,7 +57,7 @@
         ("late", ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN),
     ],
 )
-def test_not_kept_is_only_promised_where_it_is_sure(
+def test_unconfirmed_submission_reports_not_run_only_if_certain(
     answer: str, kind: ErrorKind, ran: Ran, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("samphirecleat.durable._access.UNKNOWN_APPEND_TIMEOUT_S", 0.2)
@@ -71,14 +71,14 @@
                 await StepAccess(step_log).submit(step("s1"))
             assert (raised.value.kind, raised.value.ran) == (kind, ran)
 
-    run(body)
+    run_async(body)
 
 
-def test_a_result_whose_answer_was_lost_keeps_its_position() -> None:
-    """A listing is done, its answer is lost, and it is sent again.
+def test_result_keeps_its_position_when_the_append_response_is_lost() -> None:
+    """A listing is applied, its response is lost, and it is appended again.
 
-    Were it written under the same key, the newest-per-key view would move it behind what
-    was listed in between, and a trainer would read other results at its positions.
+    Under the same key, compaction would move it behind results that were listed in between, and
+    a trainer would read different results at its positions.
     """
 
     async def body() -> None:
@@ -100,10 +100,10 @@
                     rows = [r.item_id for r in node.fold.steps["s1"].results]
                     assert rows == ["s1-2", "s1-0"]
 
-    run(body)
+    run_async(body)
 
 
-def test_results_wait_while_the_store_is_away_and_are_listed_after() -> None:
+def test_results_are_listed_after_a_store_outage() -> None:
     async def body() -> None:
         log = MemoryLog()
         async with following(log) as step_log:
@@ -120,10 +120,10 @@
             log.down = False
             await until(lambda: len(step_log.fold.steps["s1"].results) == 3)
 
-    run(body)
+    run_async(body)
 
 
-def test_a_follower_goes_on_after_the_history_was_forgotten() -> None:
+def test_follower_continues_after_compaction() -> None:
     async def body() -> None:
         log = MemoryLog()
         async with following(log) as step_log:
@@ -136,13 +136,13 @@
             log.compact()
             await until(lambda: "s1" in step_log.fold.steps)
 
-    run(body)
+    run_async(body)
 
 
-def test_only_a_node_that_asked_the_log_denies_a_step() -> None:
+def test_step_is_reported_unknown_only_after_confirmation_by_the_log() -> None:
     """A trainer reads its step at a node that has not folded it yet.
 
-    "Unknown" would make it give the step up, although it was promised to be kept.
+    If the node reported the step as unknown, the trainer would abandon an accepted step.
     """
 
     async def body() -> None:
@@ -158,10 +158,10 @@
                 await access.read("s1", 0, 0.0)
             assert raised.value.kind is ErrorKind.NOT_READY
 
-    run(body)
+    run_async(body)
 
 
-def test_a_reader_that_saw_more_elsewhere_is_not_answered_with_less() -> None:
+def test_reader_ahead_of_the_node_gets_an_error() -> None:
     async def body() -> None:
         log = MemoryLog()
         async with following(log) as step_log:
@@ -172,13 +172,13 @@
                 await StepAccess(step_log).read("s1", 3, 0.0)
             assert raised.value.kind is ErrorKind.NOT_READY
 
-    run(body)
+    run_async(body)
 
 
-def test_a_node_that_is_behind_its_reader_catches_up_before_it_answers() -> None:
-    """A trainer reads on at a node that pauses between its reads of the log.
+def test_node_behind_its_reader_catches_up_first() -> None:
+    """A trainer continues reading at a node that pauses between its reads of the log.
 
-    Refused, it would come back a moment later for results that are there.
+    If it were rejected, it would have to retry for results that are already in the log.
     """
 
     async def body() -> None:
@@ -190,7 +190,7 @@
             behind = StepLog(log, "inc00002", Observer("n2"), random.Random(1), lambda: 30.0)
             task = asyncio.ensure_future(behind.run())
             await until(lambda: "s1" in behind.fold.steps)
-            # It has read something, and reads nothing more by itself for half a minute.
+            # The node has read the step and now pauses for 30 s.
             await asyncio.sleep(0.05)
             writer.list_result(finished("s1", "s1-1"))
             writer.list_result(finished("s1", "s1-2", "second"))
@@ -200,12 +200,12 @@
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
-    run(body)
+    run_async(body)
 
 
 @asynccontextmanager
-async def pausing(log: MemoryLog, writer: StepLog) -> AsyncIterator[StepLog]:
-    """Follow the log at a node that has read a step's first result and then pauses."""
+async def paused_node(log: MemoryLog, writer: StepLog) -> AsyncIterator[StepLog]:
+    """Run a node that has read the first result of a step and then pauses for 30 s."""
     pauses_s = [0.0]
     node = StepLog(log, "inc00002", Observer("n2"), random.Random(1), lambda: pauses_s[0])
     task = asyncio.ensure_future(node.run())
@@ -221,46 +221,46 @@
     await asyncio.gather(task, return_exceptions=True)
 
 
-def test_a_reader_that_waits_ends_the_pause_of_its_node() -> None:
-    """A trainer waits for a step's last result at a node of a large fleet.
+def test_waiting_reader_ends_the_pause_of_its_node() -> None:
+    """A trainer waits for the last result of a step at a node of a large fleet.
 
-    The node reads the log only now and then. The trainer would get the result that much later,
-    and begin to train later at every step.
+    The node pauses between reads of the log. Without ending the pause, the trainer would receive
+    the result late and start its training late at every step.
     """
 
     async def body() -> None:
         log = MemoryLog()
-        async with following(log) as writer, pausing(log, writer) as node:
+        async with following(log) as writer, paused_node(log, writer) as node:
             reading = asyncio.ensure_future(StepAccess(node).read("s1", 1, 10.0))
             await asyncio.sleep(0.05)
             writer.list_result(finished("s1", "s1-1"))
             page = await asyncio.wait_for(reading, 5.0)
             assert [row.item.item_id for row in page.results] == ["s1-1"]
 
-    run(body)
+    run_async(body)
 
 
-def test_a_read_brings_what_was_listed_during_a_pause() -> None:
-    """A node knows one result of a step when a trainer reads, and two stand in the log.
+def test_read_returns_results_listed_during_a_pause() -> None:
+    """A trainer reads while the node has folded one result of a step and the log holds two.
 
-    With the older one alone the trainer would come back half a second later for the other.
+    With only the first result, the trainer would fetch the second one half a second later.
     """
 
     async def body() -> None:
         log = MemoryLog()
-        async with following(log) as writer, pausing(log, writer) as node:
+        async with following(log) as writer, paused_node(log, writer) as node:
             writer.list_result(finished("s1", "s1-1"))
             await until(lambda: len(writer.fold.steps["s1"].results) == 2)
             page = await StepAccess(node).read("s1", 0, 0.0)
             assert [row.item.item_id for row in page.results] == ["s1-0", "s1-1"]
 
-    run(body)
+    run_async(body)
 
 
-def test_a_node_tells_of_what_it_wrote_itself(caplog: pytest.LogCaptureFixture) -> None:
-    """Every node folds every step; with a line of each, logs grow as nodes times steps.
+def test_step_is_logged_only_by_its_writer(caplog: pytest.LogCaptureFixture) -> None:
+    """Every node folds every step; if each logged it, the log volume would be nodes times steps.
 
-    On-call engineers then look for one request among hundreds of copies of each line.
+    On-call engineers would have to find a request among hundreds of copies of each line.
     """
 
     async def body() -> None:
@@ -271,12 +271,12 @@
             await until(lambda: "s1" in other.fold.steps and "s1" in writer.fold.steps)
 
     with caplog.at_level("INFO"):
-        run(body)
+        run_async(body)
     lines = [r for r in caplog.records if "step=s1 number=" in r.getMessage()]
     assert len(lines) == 1
 
 
-def test_a_read_waits_for_a_first_result() -> None:
+def test_read_waits_for_the_first_result() -> None:
     async def body() -> None:
         log = MemoryLog()
         async with following(log) as step_log:
@@ -290,10 +290,10 @@
             assert [(r.item.item_id, r.text) for r in page.results] == [("s1-1", "text")]
             assert page.next_position == 1
 
-    run(body)
+    run_async(body)
 
 
-def test_an_end_is_repeated_without_another_record() -> None:
+def test_ending_a_step_twice_appends_one_record() -> None:
     async def body() -> None:
         log = MemoryLog()
         async with following(log) as step_log:
@@ -306,14 +306,14 @@
             await access.end("s1")
             assert log.end == before
 
-    run(body)
+    run_async(body)
 
 
-def test_a_claim_counts_although_results_are_listed_all_the_while() -> None:
-    """A runner leaves and hands over while the store is slow and its last results come in.
+def test_claim_is_valid_despite_concurrent_appends() -> None:
+    """A runner hands over while the store is slow and its last results are being listed.
 
-    A claim that failed whenever something was appended in between would fail for seconds,
-    in which the step's items stand still.
+    A claim that failed whenever another record was appended first would fail for seconds, during
+    which no item of the step makes progress.
     """
 
     async def body() -> None:
@@ -325,4 +325,4 @@
             await until(lambda: "svc" in step_log.fold.claims)
             assert step_log.fold.claims["svc"].node_id == "n1"
 
-    run(body)
+    run_async(body)
--- a/tests/durable/test_weight_demand.py
+++ b/tests/durable/test_weight_demand.py
@@ -1,4 +1,4 @@
-"""What a model's steps ask of the engines."""
+"""Tests of the demand of a model's steps on the engines."""
 
 import math
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("steps", "before", "want"),
+    ("steps", "previous", "expected"),
     [
         ([], 1, 1),
         ([state(0, 1)], 0, 0),
@@ -27,24 +27,22 @@
         ([state(4, 4), state(5, 3)], 0, 2),
         ([state(5, 6)], 1, 0),
     ],
-    ids=["none open", "the first", "one less", "by the newest", "never negative"],
+    ids=["none open", "first step", "one version", "newest step decides", "never negative"],
 )
-def test_the_lag_that_steps_allow_is_learned(
-    steps: list[StepState], before: int, want: int
-) -> None:
-    assert allowed_lag(steps, before) == want
+def test_allowed_lag(steps: list[StepState], previous: int, expected: int) -> None:
+    assert allowed_lag(steps, previous) == expected
 
 
 @pytest.mark.parametrize(
-    ("sizes", "want"), [([], 2), ([4], 2), ([25], 3), ([60, 4, 4, 13], 2), ([4, 60, 4, 13], 5)]
+    ("sizes", "expected"), [([], 2), ([4], 2), ([25], 3), ([60, 4, 4, 13], 2), ([4, 60, 4, 13], 5)]
 )
-def test_a_step_of_the_latest_size_finds_its_places(sizes: list[int], want: int) -> None:
+def test_engines_wanted_for_the_largest_recent_step(sizes: list[int], expected: int) -> None:
     steps = [state(number, 1, size) for number, size in enumerate(sizes)]
-    assert engines_wanted(steps, 12) == want
+    assert engines_wanted(steps, 12) == expected
 
 
 @pytest.mark.parametrize(
-    ("named", "lag", "open_steps", "needed", "coming"),
+    ("named", "lag", "open_steps", "needed", "upcoming"),
     [
         (7, 1, [state(7, 6)], 6, 7),
         (7, 1, [], 6, 7),
@@ -52,19 +50,25 @@
         (7, 2, [state(7, 5)], 5, 6),
         (6, 1, [state(7, 6)], 6, 6),
     ],
-    ids=["one less", "no step open", "the newest only", "two less", "named but not heard of"],
+    ids=[
+        "one version",
+        "no open step",
+        "newest only",
+        "two versions",
+        "newest version not known yet",
+    ],
 )
-def test_what_open_and_coming_steps_accept(
-    named: int, lag: int, open_steps: list[StepState], needed: int, coming: int
+def test_versions_needed_by_open_and_upcoming_steps(
+    named: int, lag: int, open_steps: list[StepState], needed: int, upcoming: int
 ) -> None:
     oldest = [step.spec.min_version for step in open_steps]
     demand = model_demand("m", named, lag, oldest, 2, keeps_runs=True, shortage=None)
-    assert (demand.needed_version, demand.next_version) == (needed, coming)
+    assert (demand.needed_version, demand.next_version) == (needed, upcoming)
     assert not demand.waits
     assert demand.spare_s == math.inf
 
 
-def test_a_shortage_is_told() -> None:
+def test_shortage_is_part_of_the_demand() -> None:
     demand = model_demand("m", 7, 1, [], 2, keeps_runs=False, shortage=Shortage(1.0))
     assert demand.waits
     assert demand.pressed
--- a/tests/durable/test_weight_orders.py
+++ b/tests/durable/test_weight_orders.py
@@ -1,4 +1,4 @@
-"""Which engines load which model's version now."""
+"""Tests of the decision which engines load the newest version of which model."""
 
 import math
 
@@ -27,16 +27,16 @@
     spare_s: float = math.inf,
     keeps_runs: bool = True,
 ) -> ModelDemand:
-    """Return the demand of steps that accept one version less than the newest.
+    """Return the demand of steps that accept the newest version and the one before it.
 
-    An item waits if its time to spare is given, and is pressed with less than 2.5 s of it.
+    An item waits if ``spare_s`` is given, and is pressed if that is less than 2.5 s.
     """
     waits, pressed = spare_s < math.inf, spare_s < 2.5
     return ModelDemand(model, named, named - 1, named, wanted, keeps_runs, waits, pressed, spare_s)
 
 
 @pytest.mark.parametrize(
-    ("engines", "pressed", "want"),
+    ("engines", "pressed", "expected"),
     [
         (
             [engine("a", 1), engine("b", 1), engine("c", 1), engine("d", 1), engine("e", 1)],
@@ -97,38 +97,38 @@
         ([engine("a", 3), engine("b", 3)], False, []),
     ],
     ids=[
-        "two of five at once",
-        "idle ones",
-        "none that runs something",
-        "pressed: the useless",
-        "nothing usable",
-        "one loads already",
-        "another model loads",
-        "one rests",
-        "all have it",
+        "two of five concurrently",
+        "idle engines only",
+        "no engine with runs",
+        "pressed: unusable engines",
+        "no usable engine",
+        "one engine is loading",
+        "loading another model",
+        "one engine is backing off",
+        "all up to date",
     ],
 )
-def test_loads_that_wait_for_the_runs_of_their_model(
-    engines: list[OrderableEngine], pressed: bool, want: list[str]
+def test_loads_that_wait_for_runs_go_to_idle_engines(
+    engines: list[OrderableEngine], pressed: bool, expected: list[str]
 ) -> None:
     spare_s = 1.0 if pressed else math.inf
     got = decide_loads(engines, [demand(spare_s=spare_s, keeps_runs=False)])
-    assert [load.instance for load in got] == want
+    assert [load.instance for load in got] == expected
 
 
 def shared(count: int, versions: dict[str, list[int]]) -> list[OrderableEngine]:
-    """Return idle engines; ``versions`` gives each model's version at each of them."""
+    """Return idle engines; ``versions`` lists the versions of each model by engine."""
     return [
         OrderableEngine(f"e{at}", {model: by[at] for model, by in versions.items()}, {})
         for at in range(count)
     ]
 
 
-def test_the_model_whose_step_waits_goes_before_those_named_first() -> None:
-    """Versions of three models are named at once; the last one's step has no engine at all.
+def test_model_with_a_waiting_step_goes_first() -> None:
+    """Versions of three models are published together; no engine can serve the last one's step.
 
-    Loads in the order of the models' names would have its trainer wait for those of all
-    the others, seconds in which engines stand idle.
+    If loads were ordered by model name, its trainer would wait seconds for the loads of all other
+    models, while engines are idle.
     """
     engines = shared(6, {"a": [2] * 6, "b": [2] * 6, "c": [1] * 6})
     demands = [demand("a", wanted=6), demand("b", wanted=6), demand("c", wanted=2, spare_s=3.0)]
@@ -137,23 +137,23 @@
     assert loads[0].model == "c"
 
 
-def test_among_waiting_steps_the_one_with_least_time_left_goes_first() -> None:
+def test_waiting_step_with_the_least_time_left_goes_first() -> None:
     engines = shared(6, {"a": [1] * 6, "b": [1] * 6})
     loads = decide_loads(engines, [demand("a", spare_s=4.0), demand("b", spare_s=3.0)])
     assert [load.model for load in loads] == ["b", "a"]
 
 
-def test_models_share_the_loads_at_once() -> None:
+def test_models_share_the_concurrent_loads() -> None:
     engines = shared(6, {"a": [2] * 6, "b": [2] * 6, "c": [2] * 6})
     demands = [demand("a", wanted=4), demand("b", wanted=4), demand("c", wanted=4)]
     assert {load.model for load in decide_loads(engines, demands)} == {"a", "b"}
 
 
-def test_an_engine_loads_every_second_version() -> None:
-    """Half of the engines were loaded for the step that is asked for now.
+def test_engine_loads_every_second_version() -> None:
+    """Part of the engines are already loaded for the current step.
 
-    If all engines loaded each version, loads would queue up behind each other and the next
-    step would find none.
+    If all engines loaded every version, loads would queue up and no engine would be ready for
+    the next step.
     """
     engines = shared(6, {"m": [2, 2, 1, 1, 1, 1]})
     first = decide_loads(engines, [demand(wanted=2)])
@@ -168,24 +168,24 @@
     assert loads == [Load("e2", "b"), Load("e3", "b")]
 
 
-def test_a_slow_engine_does_not_count_as_ready() -> None:
+def test_slow_engine_does_not_count_as_ready() -> None:
     slow = OrderableEngine("e0", {"m": 3}, {}, slow=True)
     engines = [slow, *shared(5, {"m": [3, 1, 1, 1, 1]})]
     assert len(decide_loads(engines, [demand(wanted=2)])) == 1
 
 
-def test_a_pressed_model_does_not_hold_up_what_others_run() -> None:
-    """One model's items lack places; its engines behind run nothing of it, only of others."""
+def test_pressed_model_does_not_delay_runs_of_other_models() -> None:
+    """The items of one model lack slots; an engine with its old version runs only other models."""
     engines = [OrderableEngine("e0", {"a": 1, "b": 2}, {"b": 5})]
     assert decide_loads(engines, [demand("a", spare_s=1.0)]) == [Load("e0", "a")]
     assert decide_loads(engines, [demand("b", named=2, wanted=1)]) == []
 
 
-def test_loads_that_keep_runs_go_to_busy_engines_too() -> None:
-    """Every engine runs texts of the open steps, and the next step needs a newer version.
+def test_loads_that_keep_runs_go_to_busy_engines() -> None:
+    """Every engine runs items of the open steps, and the next step needs a newer version.
 
-    A load that keeps them costs them nothing; one that waited for an idle engine would come
-    after the next step was asked for, and its trainer would wait for a load each time.
+    A load that keeps runs does not delay them. If it waited for an idle engine, it would start
+    after the next step was submitted, and the trainer would wait for a load at every step.
     """
     engines = [engine("a", 2, 3), engine("b", 1, 2), engine("c", 2, 1), engine("d", 3, 1)]
     assert [load.instance for load in decide_loads(engines, [demand()])] == ["b", "c"]
@@ -193,26 +193,26 @@
     assert [load.instance for load in decide_loads(engines, [demand()])] == ["c"]
 
 
-def test_no_place_that_an_item_waits_for_is_taken_by_a_load() -> None:
-    """A step has more items than there are places; all its engines can serve it.
+def test_load_takes_no_slots_that_items_wait_for() -> None:
+    """A step has more items than there are slots, and all engines can serve it.
 
-    An engine that loads takes no new item for a second, so the rest of the step would wait
-    for fewer places.
+    A loading engine accepts no new item for a second, so the remaining items would wait for
+    fewer slots.
     """
     engines = [engine("a", 2, 12), engine("b", 2, 12), engine("c", 2, 12)]
     assert decide_loads(engines, [demand(spare_s=4.0)]) == []
-    useless = [*engines, engine("d", 1)]
-    assert [load.instance for load in decide_loads(useless, [demand(spare_s=4.0)])] == ["d"]
+    with_unusable = [*engines, engine("d", 1)]
+    assert [load.instance for load in decide_loads(with_unusable, [demand(spare_s=4.0)])] == ["d"]
 
 
 @pytest.mark.parametrize(
-    ("engines", "want"),
+    ("engines", "expected"),
     [(1, 1), (3, 1), (4, 2), (5, 2), (6, 2), (9, 4), (24, 10), (25, 10)],
 )
-def test_so_many_engines_load_at_once(engines: int, want: int) -> None:
-    """One of a service's five engines is taken away, and four bring a new version every 4 s.
+def test_number_of_concurrent_loads(engines: int, expected: int) -> None:
+    """A service loses one of five engines, and a new version is published every 4 s.
 
-    With one load at a time the last of them has it after four seconds, and the items of the
-    step that wants it wait beside engines that stand idle.
+    With one load at a time the last of the four engines has the version after 4 s, and the items
+    that need it wait while engines are idle.
     """
-    assert max_concurrent_loads(engines) == want
+    assert max_concurrent_loads(engines) == expected
