--- a/samphirecleat/durable/_step_log.py
+++ b/samphirecleat/durable/_step_log.py
@@ -11,7 +11,7 @@
 from ..observe import Observer
 from ._fold import NO_CLAIM, StepFold
 from ._follower import TopicFollower, no_pause
-from ._item_shelf import ItemStore
+from ._item_store import ItemStore
 from ._listing import ResultLister, WriteResult
 from ._ports import AppendOutcome, KeyedLog, LogEntry, PeerTexts
 from ._records import (
