--- a/samphirecleat/durable/_crash_records.py
+++ b/samphirecleat/durable/_crash_records.py
@@ -90,7 +90,7 @@
 
     def record(self, mark: bytes, *, own: bool) -> None:
         """Schedule a record of a call; it is not written if another node writes it first."""
-        if not self._is_news(mark):
+        if not self._needs_record(mark):
             return
         max_spread_s = DELAY_PER_NODE_S * self._node_count()
         delay_s = 0.0 if own else OTHER_WRITERS_DELAY_S + self._rng.uniform(0.0, max_spread_s)
@@ -98,7 +98,7 @@
         self._due_s[mark] = min(due_s, self._due_s.get(mark, math.inf))
         self._scheduled.set()
 
-    def _is_news(self, mark: bytes) -> bool:
+    def _needs_record(self, mark: bytes) -> bool:
         """Whether the ledger holds information on a call that the log lacks."""
         suspect = self._ledger.suspects.get(mark)
         written = self._written.get(mark)
@@ -129,7 +129,7 @@
             due = [mark for mark, due_s in self._due_s.items() if due_s <= loop.time()]
             for mark in due:
                 del self._due_s[mark]
-            await self._write([mark for mark in due if self._is_news(mark)])
+            await self._write([mark for mark in due if self._needs_record(mark)])
 
     async def _write(self, marks: Sequence[bytes]) -> None:
         if not marks:
--- a/samphirecleat/durable/_follower.py
+++ b/samphirecleat/durable/_follower.py
@@ -16,7 +16,7 @@
 RETRY_DELAY_RANGE_S: Final = (0.05, 0.15)
 
 Sink = Callable[[Sequence[LogEntry], bool], None]
-"""Receives entries in offset order; the flag tells that they predate the follower.
+"""Receives entries in offset order; the flag says whether they predate the follower.
 
 For a sink that is not ordered, flagged entries are a full snapshot: the newest of every key.
 """
--- a/samphirecleat/durable/_listing.py
+++ b/samphirecleat/durable/_listing.py
@@ -42,7 +42,7 @@
     """
 
     def __init__(self, fold: StepFold, texts: TextStore, write: Write, observer: Observer) -> None:
-        """Append records with ``write``; ``fold`` tells which results are still wanted."""
+        """Append records with ``write``; ``fold`` shows which results are still wanted."""
         self._fold = fold
         self._texts = texts
         self._write = write
--- a/samphirecleat/durable/_ports.py
+++ b/samphirecleat/durable/_ports.py
@@ -145,7 +145,7 @@
     """A run that ended before its text was complete."""
 
     def __init__(self, detail: str, reason: "GenerationFailure", *, cut: bool = False) -> None:
-        """Create the error; ``cut`` tells whether the engine closed the connection."""
+        """Create the error; ``cut`` says whether the engine closed the connection."""
         super().__init__(detail)
         self.cut = cut
         self.detail = detail
--- a/samphirecleat/durable/_step_log.py
+++ b/samphirecleat/durable/_step_log.py
@@ -68,7 +68,7 @@
         """Create the step log of the process ``incarnation``.
 
         ``pause_s`` returns the pause in seconds after each read that returned entries.
-        ``store_items_separately`` tells whether the items of a step are written as a separate
+        ``store_items_separately`` says whether the items of a step are written as a separate
         blob. Texts that the log cannot return are requested from ``peer_texts``.
         """
         self.fold = StepFold()
@@ -170,7 +170,7 @@
         return await self._write(StepEnded(step_id), step_id)
 
     async def claim(self, service: str, node_id: str, incarnation: str) -> WriteResult:
-        """Append a claim of a service for a node; the fold tells whether the claim is valid."""
+        """Append a claim of a service for a node; the fold shows whether the claim is valid."""
         held = self.fold.claims.get(service)
         replaces = held.offset if held is not None else NO_CLAIM
         return await self._write(RunnerClaimed(service, node_id, incarnation, replaces), service)
--- a/samphirecleat/durable/_weight_orders.py
+++ b/samphirecleat/durable/_weight_orders.py
@@ -30,7 +30,7 @@
 
     Open steps accept ``needed_version`` and newer, the step after them ``next_version``, which
     is never above ``named_version``, the newest published one. ``wanted_engines`` is the number
-    of engines that the next step fills. ``keeps_runs`` tells that runs continue while their
+    of engines that the next step fills. ``keeps_runs`` means that runs continue while their
     engine loads. ``waits`` is set if no engine has both a suitable version and a free slot for
     some item, ``pressed`` if such an item will be late unless it starts soon. ``spare_s`` is the
     slack of the most urgent waiting item in seconds.
--- a/tests/durable/test_fold.py
+++ b/tests/durable/test_fold.py
@@ -53,9 +53,9 @@
         for key, value in split_record(record, f"k/{self.keys}"):
             entry = LogEntry(len(self.entries), key, value)
             self.entries.append(entry)
-            whole = self.assembler.add(key, value)
-            if whole is not None:
-                self.followed.apply(whole, entry.offset, 0.0)
+            replayed = self.assembler.add(key, value)
+            if replayed is not None:
+                self.followed.apply(replayed, entry.offset, 0.0)
 
     @rule(step_id=st.sampled_from(STEPS))
     def accept(self, step_id: str) -> None:
@@ -96,11 +96,11 @@
 
     @invariant()
     def all_readers_agree(self) -> None:
-        whole = fold_of(self.entries)
+        replayed = fold_of(self.entries)
         newest = {entry.key: entry for entry in self.entries}
         compacted = fold_of(sorted(newest.values()))
-        assert positions(self.followed) == positions(whole) == positions(compacted)
-        assert self.followed.claims == whole.claims == compacted.claims
+        assert positions(self.followed) == positions(replayed) == positions(compacted)
+        assert self.followed.claims == replayed.claims == compacted.claims
 
     @invariant()
     def read_positions_never_change(self) -> None:
