--- a/samphirecleat/durable/_weight_orders.py
+++ b/samphirecleat/durable/_weight_orders.py
@@ -96,17 +96,17 @@
     return max(1, round(engines * MAX_LOADING_SHARE))
 
 
-# Lower values are more urgent: the class, then two sort keys within the class.
+# Lower values are more urgent: the class, the sort key within it, and the share of engines ready.
 _Urgency = tuple[int, float, float]
 
 
 def _next_load(
     engines: Sequence[OrderableEngine], demand: ModelDemand, demands: Sequence[ModelDemand]
 ) -> tuple[_Urgency, Load] | None:
-    """Return the next load of a model and its urgency, or None if it needs no load."""
+    """Return the next load of a model and its urgency, None if it needs or can get no load."""
     model = demand.model
-    usable = [e for e in engines if _has(e, model, demand.needed_version)]
-    ready = [e for e in engines if not e.slow and _has(e, model, demand.next_version)]
+    usable = [e for e in engines if _has_version(e, model, demand.needed_version)]
+    ready = [e for e in engines if not e.slow and _has_version(e, model, demand.next_version)]
     ready_share = len(ready) / max(1, min(demand.wanted_engines, len(engines)))
     if demand.waits and not usable:
         urgency = (0, demand.spare_s, ready_share)
@@ -116,7 +116,7 @@
         urgency = (2, ready_share, 0.0)
     else:
         return None
-    # While any engine can serve the open steps, their runs are not delayed.
+    # Runs of open steps are delayed only for pressed items, or if no engine can serve the steps.
     may_delay_runs = demand.pressed or not usable
     behind_version = demand.needed_version if ready_share >= 1.0 else demand.next_version
     candidates = [
@@ -139,7 +139,9 @@
     def cost(engine: OrderableEngine) -> tuple[bool, int, bool, int, int, int, str]:
         # Spreads the models over the engines, so that the first items of steps that are submitted
         # together do not compete for the same slots.
-        others = sum(_has(engine, d.model, d.next_version) for d in demands if d.model != model)
+        others = sum(
+            _has_version(engine, d.model, d.next_version) for d in demands if d.model != model
+        )
         version = engine.versions.get(model, 0)
         runs = engine.runs.get(model, 0)
         delayed_runs = 0 if demand.keeps_runs else runs
@@ -149,7 +151,7 @@
     return urgency, Load(min(candidates, key=cost).instance, model)
 
 
-def _has(engine: OrderableEngine, model: str, version: int) -> bool:
+def _has_version(engine: OrderableEngine, model: str, version: int) -> bool:
     """Whether an engine has a version of a model or a newer one, or is loading it."""
     if engine.loading == model:
         return True
