--- a/samphirecleat/durable/_access.py
+++ b/samphirecleat/durable/_access.py
@@ -149,7 +149,7 @@
             return
         if written.outcome is AppendOutcome.UNKNOWN and await self._wait_until_ended(step_id):
             return
-        raise _not_ready(f"the end of the step could not be stored: {written.detail}")
+        raise _not_ready(f"the end of the step is not confirmed as stored: {written.detail}")
 
     async def _find_step(self, step_id: str, workspace: str) -> StepState:
         """Return a step of a workspace; steps of other workspaces are reported as unknown."""
--- a/samphirecleat/durable/_crash_records.py
+++ b/samphirecleat/durable/_crash_records.py
@@ -141,7 +141,7 @@
             self._retry_s = FIRST_RETRY_S
             return
         self._logger.warning(
-            "calls=%d could not be recorded; retrying: %s", len(marks), result.detail
+            "calls=%d not confirmed as recorded; retrying: %s", len(marks), result.detail
         )
         retry_at_s = asyncio.get_running_loop().time() + self._retry_s * self._rng.uniform(1.0, 2.0)
         self._retry_s = min(MAX_RETRY_S, 2.0 * self._retry_s)
--- a/samphirecleat/durable/_retention.py
+++ b/samphirecleat/durable/_retention.py
@@ -25,7 +25,7 @@
         while step_log.forgotten:
             step_id = step_log.forgotten[0]
             if not await step_log.drop(step_id):
-                logger.warning("step=%s could not be deleted from the log; retrying", step_id)
+                logger.warning("step=%s deletion from the log not confirmed; retrying", step_id)
                 break
             step_log.forgotten.popleft()
             logger.info("step=%s deleted from the log", step_id)
--- a/samphirecleat/durable/_step_log.py
+++ b/samphirecleat/durable/_step_log.py
@@ -154,7 +154,9 @@
             items_at = await self._items.write(request.step_id, request.items)
             if items_at is not None:
                 return await self._write(accepted_record(request, items_at), request.step_id)
-        return WriteResult(AppendOutcome.NOT_APPENDED, "the items of the step could not be stored")
+        return WriteResult(
+            AppendOutcome.NOT_APPENDED, "the items of the step are not confirmed as stored"
+        )
 
     async def read_items(self, step: StepAccepted) -> Mapping[str, ItemSpec]:
         """Return the item specifications of a step by item ID.
