--- a/samphirecleat/durable/__init__.py
+++ b/samphirecleat/durable/__init__.py
@@ -1,4 +1,7 @@
-"""Steps that are kept through the loss of every node: log, fold, runner, weights."""
+"""Durable steps: the replicated step log, its fold, and the runner that executes the steps.
+
+An accepted step survives the loss of every node, because its state is rebuilt from the log.
+"""
 
 from ._access import ListedResult, StepAccess, StepPage
 from ._crash_records import CrashRecords
@@ -7,7 +10,7 @@
 from ._fold import Claim, StepFold, StepState
 from ._follower import TopicFollower
 from ._journal import ProgressJournal
-from ._listing import Written
+from ._listing import WriteResult
 from ._member_registry import MemberRegistry
 from ._orderer import EngineReport, Order, OrderChannel, OrderOutcome
 from ._planner import (
@@ -21,24 +24,24 @@
     shortages,
 )
 from ._ports import (
-    READ_BYTES,
+    MAX_READ_BYTES,
     UNCONDITIONAL,
     AppendOutcome,
     AppendResult,
     GenerationCall,
     GenerationChannel,
-    GenerationEnd,
     GenerationError,
+    GenerationEvent,
+    GenerationFailure,
     HistoryGoneError,
     KeyedLog,
     LogEntry,
     LogSlice,
     LogUnavailableError,
     PeerTexts,
-    Piece,
     PlainLog,
 )
-from ._reading_pace import keeps_items_apart, reading_pause_s
+from ._reading_pace import reading_pause_s, stores_items_separately
 from ._records import (
     FinishedItem,
     ItemListed,
@@ -56,13 +59,13 @@
 from ._server_plan import ZoneCapacity, plan_spot_targets, targets_for_wave
 from ._service_duty import NO_PROVISIONING, DutyDependencies, ServiceDuties, TargetProvisioning
 from ._step_log import StepLog
-from ._texts import TextShelf
+from ._texts import TextStore
 from ._weight_demand import engines_for, model_demand
 from ._weight_orders import Load, ModelDemand, OrderableEngine, decide_loads
 
 __all__ = [
+    "MAX_READ_BYTES",
     "NO_PROVISIONING",
-    "READ_BYTES",
     "UNCONDITIONAL",
     "AppendOutcome",
     "AppendResult",
@@ -78,8 +81,9 @@
     "FinishedItem",
     "GenerationCall",
     "GenerationChannel",
-    "GenerationEnd",
     "GenerationError",
+    "GenerationEvent",
+    "GenerationFailure",
     "HistoryGoneError",
     "Holder",
     "ItemListed",
@@ -98,7 +102,6 @@
     "OrderableEngine",
     "PeerTexts",
     "PendingItem",
-    "Piece",
     "Placement",
     "PlainLog",
     "ProgressJournal",
@@ -120,13 +123,12 @@
     "StepState",
     "TargetProvisioning",
     "TextRef",
-    "TextShelf",
+    "TextStore",
     "TopicFollower",
-    "Written",
+    "WriteResult",
     "ZoneCapacity",
     "decide_loads",
     "engines_for",
-    "keeps_items_apart",
     "model_demand",
     "order_items",
     "place_items",
@@ -134,5 +136,6 @@
     "planned_tokens",
     "reading_pause_s",
     "shortages",
+    "stores_items_separately",
     "targets_for_wave",
 ]
--- a/samphirecleat/durable/_item_decisions.py
+++ b/samphirecleat/durable/_item_decisions.py
@@ -11,7 +11,7 @@
 from typing import Final, NamedTuple
 
 from ._planner import EngineView
-from ._ports import GenerationEnd
+from ._ports import GenerationFailure
 
 ItemName = tuple[str, str]
 """The ids of a step and of one of its items."""
@@ -155,16 +155,18 @@
     engine_backoff_s: float = 0.0
 
 
-def failure_response(reason: GenerationEnd, failures: int, max_attempts: int) -> FailureResponse:
+def failure_response(
+    reason: GenerationFailure, failures: int, max_attempts: int
+) -> FailureResponse:
     """Return the response to a failed run, the item having failed on engines ``failures`` times."""
     match reason:
-        case GenerationEnd.IMPOSSIBLE:
+        case GenerationFailure.IMPOSSIBLE:
             return FailureResponse(give_up_item=True)
-        case GenerationEnd.FAILED:
+        case GenerationFailure.FAILED:
             return FailureResponse(give_up_item=failures >= max_attempts)
-        case GenerationEnd.REFUSED:
+        case GenerationFailure.REFUSED:
             return FailureResponse(engine_backoff_s=REFUSAL_BACKOFF_S)
-        case GenerationEnd.BROKEN | GenerationEnd.WRONG_INSTANCE:
+        case GenerationFailure.BROKEN | GenerationFailure.WRONG_INSTANCE:
             return FailureResponse(engine_backoff_s=ENGINE_BACKOFF_S)
-        case GenerationEnd.SILENT:
+        case GenerationFailure.SILENT:
             return FailureResponse(item_backoff_s=0.0, engine_backoff_s=ENGINE_BACKOFF_S)
--- a/samphirecleat/durable/_item_loader.py
+++ b/samphirecleat/durable/_item_loader.py
@@ -37,7 +37,7 @@
         try:
             while step.open:
                 try:
-                    step.take_items(await self._work.step_log.read_items(step.spec))
+                    step.set_items(await self._work.step_log.read_items(step.spec))
                 except LogUnavailableError as error:
                     self._logger.warning(
                         "step=%s reading items failed: %s", step.spec.step_id, error
--- a/samphirecleat/durable/_orderer.py
+++ b/samphirecleat/durable/_orderer.py
@@ -1,10 +1,10 @@
-"""Brings named versions to a service's engines, at the node that runs the service.
+"""Orders the engines of a service to load weight versions, at the node that runs the service.
 
-Safety rests on the engines' own checks: each order carries the offset of the runner's claim
-as fencing number, the count of orders that the engine had accepted, and the instance it is
-meant for. An order that is carried out late finds its condition false. Beyond that, the
-holder orders only while the log confirmed its claim a moment ago, and a new one waits until
-no earlier holder can still be doing so; both count time that the host stood still.
+Safety rests on checks by the engines: each order carries the offset of the runner's claim as
+fencing token, the number of orders that the engine has accepted before, and the instance it is
+meant for. The condition of a delayed order is false by the time it is executed. In addition, the
+holder issues orders only while the log has recently confirmed its claim, and a new holder waits
+until no earlier one can still do so; both clocks include time during which the host was suspended.
 """
 
 import asyncio
@@ -18,18 +18,18 @@
 from ._duty import Holder
 from ._weight_orders import ModelDemand, OrderableEngine, decide_loads
 
-LOOK_EVERY_S: Final = 0.1
-# A load takes about a second; asked any earlier, the engine is still busy.
-FIRST_LOOK_S: Final = 0.7
-NEXT_LOOK_S: Final = 0.3
-# After an order without an answer, and after an order that the engine refused.
-UNKNOWN_REST_S: Final = 1.0
-REFUSED_REST_S: Final = 0.4
+POLL_INTERVAL_S: Final = 0.1
+# A load takes about one second; at an earlier check the engine would still be busy.
+FIRST_LOAD_CHECK_S: Final = 0.7
+LOAD_CHECK_INTERVAL_S: Final = 0.3
+# Delays after an order without a response, and after an order that the engine rejected.
+UNKNOWN_OUTCOME_DELAY_S: Final = 1.0
+REJECTED_BACKOFF_S: Final = 0.4
 ORDER_TIMEOUT_S: Final = 0.8
 
 
 class EngineReport(NamedTuple):
-    """What an engine says of its weights, a few hundred milliseconds old."""
+    """An engine's report on its weights; up to a few hundred milliseconds old."""
 
     versions: Mapping[str, int]
     busy: bool
@@ -38,7 +38,10 @@
 
 
 class Order(NamedTuple):
-    """An order to load a version; ``expected_orders`` must be what the engine accepted."""
+    """An order to load a version.
+
+    The engine accepts it only if it has accepted ``expected_orders`` orders before.
+    """
 
     model: str
     version: int
@@ -49,7 +52,7 @@
 
 
 class OrderOutcome(Enum):
-    """What an engine answered to an order."""
+    """The response of an engine to an order."""
 
     ACCEPTED = "accepted"
     HOLDS = "holds"
@@ -60,63 +63,63 @@
 
 
 class OrderChannel(Protocol):
-    """Orders and reports of engines."""
+    """Sends orders to engines and reads their reports."""
 
     async def report(self, target: Target) -> EngineReport | None:
-        """Return the engine's report, None if it gives none."""
+        """Return the engine's report, None if it is not available."""
         ...
 
     async def order(self, target: Target, order: Order, timeout_s: float) -> OrderOutcome:
-        """Send an order once."""
+        """Send an order once, without retries; UNKNOWN if no response arrives in ``timeout_s``."""
         ...
 
 
 class StepWork(Protocol):
-    """What the holder asks of the work that its orders are for, and tells it."""
+    """The steps that the orders serve: source of demand, and receiver of load events."""
 
     def demand(self, model: str, named_version: int) -> ModelDemand:
-        """Return what the steps of a model ask of the engines."""
+        """Return the demand of a model's steps."""
         ...
 
-    def busy_by_engine(self, model: str) -> Mapping[str, int]:
-        """Return how many runs of a model each engine has."""
+    def runs_by_engine(self, model: str) -> Mapping[str, int]:
+        """Return the number of runs of a model by engine."""
         ...
 
     def version_of(self, target: Target, model: str) -> int:
-        """Return the highest version of a model that an engine is known to have."""
+        """Return the highest version of a model known to be loaded at an engine."""
         ...
 
     def note_version(self, instance: str, model: str, version: int) -> None:
-        """Take the version of a model that an engine itself reported."""
+        """Record the version of a model that an engine reported."""
         ...
 
     def is_slow(self, instance: str) -> bool:
-        """Whether an engine is too slow to count on it for the next step."""
+        """Whether an engine is too slow to be relied on for the next step."""
         ...
 
     def begin_load(self, instance: str, model: str) -> None:
-        """Place no item of a model at an engine until its load is over."""
+        """Stop placing items of a model at an engine until its load has finished."""
         ...
 
     def end_load(self, instance: str, model: str) -> None:
-        """Place items of a model at an engine again."""
+        """Resume placing items of a model at an engine."""
         ...
 
 
 @dataclass
-class _Known:
-    """What the holder knows of one model at one start of an engine."""
+class _EngineModelState:
+    """What the holder knows about one model at one process of an engine."""
 
     started_at_ms: int
-    name: tuple[str, str]
+    key: tuple[str, str]
     version: int = 0
     loading_version: int = 0
-    look_at_s: float = 0.0
-    rests_until_s: float = 0.0
+    next_check_at_s: float = 0.0
+    backoff_until_s: float = 0.0
 
 
 class Orderer:
-    """Gives the orders of one service under one claim."""
+    """Issues the orders of one service under one claim."""
 
     def __init__(
         self,
@@ -130,57 +133,59 @@
         named: Callable[[str], int],
         work: StepWork,
     ) -> None:
-        """Order as ``holder`` what ``work`` asks for; ``named`` gives a model's newest version."""
+        """Issue orders as ``holder`` for ``work``; ``named`` returns a model's newest version."""
         self._service = service
         self._holder = holder
         self._routes = routes
         self._targets = targets
         self._channel = channel
         self._observer = observer
-        self._words = observer.log("orders")
+        self._logger = observer.log("orders")
         self._named = named
         self._work = work
-        self._known: dict[tuple[str, str], _Known] = {}
+        self._states: dict[tuple[str, str], _EngineModelState] = {}
         self._orders_accepted: dict[str, int] = {}
-        self._orders: set[asyncio.Task[None]] = set()
+        self._order_tasks: set[asyncio.Task[None]] = set()
         self._fenced = False
 
     async def run(self) -> None:
-        """Order for as long as the claim stands."""
+        """Issue orders until cancelled, or until an engine reports a newer claim."""
         try:
             while not self._fenced:
                 if self._holder.may_act_now():
-                    self._step()
-                await asyncio.sleep(LOOK_EVERY_S)
-            self._words.warning("service=%s fenced; a newer holder orders", self._service)
+                    self._poll()
+                await asyncio.sleep(POLL_INTERVAL_S)
+            self._logger.warning(
+                "service=%s fenced; a newer holder issues the orders", self._service
+            )
         finally:
-            for task in list(self._orders):
+            for task in list(self._order_tasks):
                 task.cancel()
 
-    def _step(self) -> None:
+    def _poll(self) -> None:
         now_s = asyncio.get_running_loop().time()
         spec = self._routes.config.services.get(self._service)
         if spec is None or spec.engine is None:
             return
         serving = {target.instance: target for target in self._targets.serving(self._service)}
-        for name in [name for name in self._known if name[0] not in serving]:
-            del self._known[name]
-            self._work.end_load(*name)
+        for key in [key for key in self._states if key[0] not in serving]:
+            del self._states[key]
+            self._work.end_load(*key)
         models = [model for model in spec.engine.models if self._named(model) > 1]
         for target in serving.values():
             for model in models:
                 self._refresh(target, model, now_s)
-        runs = {model: self._work.busy_by_engine(model) for model in models}
+        runs = {model: self._work.runs_by_engine(model) for model in models}
         views = [self._view(target.instance, models, runs, now_s) for target in serving.values()]
         demands = [self._work.demand(model, self._named(model)) for model in models]
         by_model = {demand.model: demand for demand in demands}
         for load in decide_loads(views, demands):
-            known = self._known[load.instance, load.model]
+            state = self._states[load.instance, load.model]
             demand = by_model[load.model]
-            known.loading_version = demand.named_version
-            known.look_at_s = now_s + ORDER_TIMEOUT_S + FIRST_LOOK_S
-            self._work.begin_load(*known.name)
-            self._spawn(self._give(serving[load.instance], demand, known))
+            state.loading_version = demand.named_version
+            state.next_check_at_s = now_s + ORDER_TIMEOUT_S + FIRST_LOAD_CHECK_S
+            self._work.begin_load(*state.key)
+            self._spawn(self._send_order(serving[load.instance], demand, state))
 
     def _view(
         self,
@@ -189,79 +194,81 @@
         runs: Mapping[str, Mapping[str, int]],
         now_s: float,
     ) -> OrderableEngine:
-        known = {model: self._known[instance, model] for model in models}
-        loading = [model for model in models if known[model].loading_version]
+        states = {model: self._states[instance, model] for model in models}
+        loading = [model for model in models if states[model].loading_version]
         return OrderableEngine(
             instance,
-            {model: known[model].version for model in models},
+            {model: states[model].version for model in models},
             {model: runs[model].get(instance, 0) for model in models},
             loading[0] if loading else "",
-            any(state.rests_until_s > now_s for state in known.values()),
+            any(state.backoff_until_s > now_s for state in states.values()),
             self._work.is_slow(instance),
         )
 
     def _refresh(self, target: Target, model: str, now_s: float) -> None:
-        """Take what is known of an engine's weights; look at a load that should be done."""
-        name = (target.instance, model)
-        known = self._known.get(name)
-        if known is None or known.started_at_ms != target.started_at_ms:
-            known = self._known[name] = _Known(target.started_at_ms, name)
-            # An engine that starts again counts its orders anew.
+        """Update the known version of an engine and check on a load that should be finished."""
+        key = (target.instance, model)
+        state = self._states.get(key)
+        if state is None or state.started_at_ms != target.started_at_ms:
+            state = self._states[key] = _EngineModelState(target.started_at_ms, key)
+            # A restarted engine counts its accepted orders from zero.
             self._orders_accepted.pop(target.instance, None)
-            self._work.end_load(*name)
-        known.version = max(known.version, self._work.version_of(target, model))
-        if known.loading_version and known.version >= known.loading_version:
-            self._load_over(known)
-        if known.loading_version and known.look_at_s <= now_s:
-            known.look_at_s = now_s + NEXT_LOOK_S
-            self._spawn(self._look(target, model, known))
-
-    def _note_version(self, known: _Known, version: int) -> None:
-        """Take what an engine said of itself.
-
-        Its registration says the same a second later, or not at all while the store is away,
-        and the items that wait for the version would wait with it.
+            self._work.end_load(*key)
+        state.version = max(state.version, self._work.version_of(target, model))
+        if state.loading_version and state.version >= state.loading_version:
+            self._finish_load(state)
+        if state.loading_version and state.next_check_at_s <= now_s:
+            state.next_check_at_s = now_s + LOAD_CHECK_INTERVAL_S
+            self._spawn(self._check_load(target, model, state))
+
+    def _note_version(self, state: _EngineModelState, version: int) -> None:
+        """Record a version from the report of an engine.
+
+        Its registration shows the version a second later, and not at all while the store is
+        unavailable, which would delay the items that wait for the version.
         """
-        known.version = max(known.version, version)
-        self._work.note_version(*known.name, known.version)
+        state.version = max(state.version, version)
+        self._work.note_version(*state.key, state.version)
 
-    def _load_over(self, known: _Known) -> None:
-        known.loading_version = 0
-        self._work.end_load(*known.name)
+    def _finish_load(self, state: _EngineModelState) -> None:
+        state.loading_version = 0
+        self._work.end_load(*state.key)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.ensure_future(work)
-        self._orders.add(task)
-        task.add_done_callback(self._orders.discard)
+        self._order_tasks.add(task)
+        task.add_done_callback(self._order_tasks.discard)
 
-    async def _look(self, target: Target, model: str, known: _Known) -> None:
-        """Ask an engine how far its load is."""
+    async def _check_load(self, target: Target, model: str, state: _EngineModelState) -> None:
+        """Read the report of an engine to see whether its load has finished."""
         report = await self._channel.report(target)
-        if report is None or not known.loading_version:
+        if report is None or not state.loading_version:
             return
-        self._note_version(known, report.versions.get(model, 0))
+        self._note_version(state, report.versions.get(model, 0))
         self._orders_accepted[target.instance] = report.orders_accepted
-        if known.version >= known.loading_version:
-            self._load_over(known)
+        if state.version >= state.loading_version:
+            self._finish_load(state)
         elif not report.busy:
-            # Nothing is being loaded: the order was not taken, or is still to come; in
-            # that case its condition fails once the next one was taken.
-            self._failed(known, REFUSED_REST_S)
+            # No load is in progress: the order was not accepted or has not arrived yet. In the
+            # latter case its condition fails once the next order has been accepted.
+            self._back_off(state, REJECTED_BACKOFF_S)
 
-    async def _give(self, target: Target, demand: ModelDemand, known: _Known) -> None:
+    async def _send_order(
+        self, target: Target, demand: ModelDemand, state: _EngineModelState
+    ) -> None:
         model, version = demand.model, demand.named_version
         if target.instance not in self._orders_accepted:
             report = await self._channel.report(target)
             if report is None:
-                self._failed(known, REFUSED_REST_S)
+                self._back_off(state, REJECTED_BACKOFF_S)
                 return
             self._orders_accepted[target.instance] = report.orders_accepted
-            self._note_version(known, report.versions.get(model, 0))
-            if known.version >= version:
-                self._load_over(known)
+            self._note_version(state, report.versions.get(model, 0))
+            if state.version >= version:
+                self._finish_load(state)
                 return
         if not self._holder.may_act_now():
-            self._failed(known, 0.0)
+            self._back_off(state, 0.0)
             return
         expected = self._orders_accepted.get(target.instance, 0)
         order = Order(
@@ -274,7 +281,7 @@
         )
         outcome = await self._channel.order(target, order, ORDER_TIMEOUT_S)
         now_s = asyncio.get_running_loop().time()
-        self._words.info(
+        self._logger.info(
             "target=%s model=%s version=%d fencing=%d expected=%d outcome=%s",
             target.instance,
             model,
@@ -287,20 +294,20 @@
         match outcome:
             case OrderOutcome.ACCEPTED:
                 self._orders_accepted[target.instance] = expected + 1
-                known.look_at_s = now_s + FIRST_LOOK_S
+                state.next_check_at_s = now_s + FIRST_LOAD_CHECK_S
             case OrderOutcome.HOLDS:
-                self._note_version(known, version)
-                self._load_over(known)
+                self._note_version(state, version)
+                self._finish_load(state)
             case OrderOutcome.FENCED:
-                self._failed(known, REFUSED_REST_S)
+                self._back_off(state, REJECTED_BACKOFF_S)
                 self._fenced = True
             case OrderOutcome.UNKNOWN:
                 self._orders_accepted.pop(target.instance, None)
-                known.look_at_s = now_s + UNKNOWN_REST_S
+                state.next_check_at_s = now_s + UNKNOWN_OUTCOME_DELAY_S
             case OrderOutcome.CONFLICT | OrderOutcome.REJECTED:
                 self._orders_accepted.pop(target.instance, None)
-                self._failed(known, REFUSED_REST_S)
+                self._back_off(state, REJECTED_BACKOFF_S)
 
-    def _failed(self, known: _Known, rest_s: float) -> None:
-        self._load_over(known)
-        known.rests_until_s = asyncio.get_running_loop().time() + rest_s
+    def _back_off(self, state: _EngineModelState, backoff_s: float) -> None:
+        self._finish_load(state)
+        state.backoff_until_s = asyncio.get_running_loop().time() + backoff_s
--- a/samphirecleat/durable/_runner.py
+++ b/samphirecleat/durable/_runner.py
@@ -194,8 +194,8 @@
         tokens_per_event = self._work.view.tokens_per_event
         remaining_events = expected_remaining_events(
             run.draft.last_event_id,
-            item.hinted_tokens // tokens_per_event,
-            item.most_tokens // tokens_per_event,
+            item.estimated_tokens // tokens_per_event,
+            item.max_tokens // tokens_per_event,
         )
         instance = run.target.instance
         return RunView(
@@ -214,7 +214,7 @@
         """Wait for a run to end, a new version or a step log change, or the plan interval."""
         waits = [
             asyncio.ensure_future(self._work.changed.wait()),
-            asyncio.ensure_future(self._work.step_log.wait_change(MAX_PLAN_INTERVAL_S)),
+            asyncio.ensure_future(self._work.step_log.wait_for_change(MAX_PLAN_INTERVAL_S)),
         ]
         try:
             await asyncio.wait(
--- a/samphirecleat/durable/_service_work.py
+++ b/samphirecleat/durable/_service_work.py
@@ -101,7 +101,7 @@
         """Return the generation time of a token on the median engine, in seconds."""
         return self.engine_stats.median_event_interval_s() / self.view.tokens_per_event
 
-    def busy_by_engine(self, model: str) -> Mapping[str, int]:
+    def runs_by_engine(self, model: str) -> Mapping[str, int]:
         """Return the number of runs of a model, by engine."""
         return Counter(
             run.target.instance
--- a/tests/durable/memory_log.py
+++ b/tests/durable/memory_log.py
@@ -1,11 +1,11 @@
-"""A keyed log in memory, with the failures that the platform's store may show."""
+"""An in-memory keyed log that simulates the failures of the platform's store."""
 
 import asyncio
 from collections import defaultdict
 from collections.abc import Sequence
 
 from samphirecleat.durable import (
-    READ_BYTES,
+    MAX_READ_BYTES,
     UNCONDITIONAL,
     AppendOutcome,
     AppendResult,
@@ -18,10 +18,11 @@
 
 
 class MemoryTopic:
-    """One topic's entries; ``answers`` says what becomes of the next appends.
+    """The entries of one topic; ``answers`` holds the outcomes of the next appends.
 
-    ``lost``: done and not answered. ``late``: not answered, done by :meth:`catch_up`.
-    ``refused``: nothing is done. An empty list: all works. An append waits for the ``gate``.
+    ``lost``: applied, but the response is lost. ``late``: no response, applied by
+    :meth:`catch_up`. ``refused``: not applied. Appends succeed once the list is empty.
+    An append blocks until the ``gate`` event is set.
     """
 
     def __init__(self) -> None:
@@ -32,8 +33,8 @@
         self.appends = 0
         self.reads = 0
         self.trimmed_to = 0
-        self._late: list[tuple[Sequence[tuple[str, bytes]], int]] = []
-        self._news = asyncio.Event()
+        self._delayed_appends: list[tuple[Sequence[tuple[str, bytes]], int]] = []
+        self._appended = asyncio.Event()
         self.gate = asyncio.Event()
         self.gate.set()
 
@@ -48,16 +49,16 @@
         kept = [newest[key] for key in sorted(newest) if newest[key].value]
         return LogSlice(kept, self.end)
 
-    async def read(self, from_offset: int, wait_s: float, most_bytes: int) -> LogSlice:
+    async def read(self, from_offset: int, wait_s: float, max_bytes: int) -> LogSlice:
         if self.down:
             raise LogUnavailableError("down")
         if from_offset < self.first_kept:
             raise HistoryGoneError(self.first_kept)
         if from_offset >= self.end and wait_s > 0.0:
-            news = self._news
+            appended = self._appended
             try:
                 async with asyncio.timeout(wait_s):
-                    await news.wait()
+                    await appended.wait()
             except TimeoutError:
                 pass
         if self.down:
@@ -65,8 +66,8 @@
         self.reads += 1
         sent: list[LogEntry] = []
         for entry in self.entries[from_offset:]:
-            most_bytes -= len(entry.value) + len(entry.key)
-            if sent and most_bytes < 0:
+            max_bytes -= len(entry.value) + len(entry.key)
+            if sent and max_bytes < 0:
                 break
             sent.append(entry)
         return LogSlice(sent, self.end)
@@ -78,7 +79,7 @@
         if self.down or answer == "refused":
             return AppendResult(AppendOutcome.NOT_APPENDED, detail="refused")
         if answer == "late":
-            self._late.append((entries, at))
+            self._delayed_appends.append((entries, at))
             return AppendResult(AppendOutcome.UNKNOWN, detail="no answer")
         result = self.do_append(entries, at)
         if answer == "lost":
@@ -86,37 +87,37 @@
         return result
 
     def do_append(self, entries: Sequence[tuple[str, bytes]], at: int) -> AppendResult:
-        """Append now, whatever is to be answered."""
+        """Apply an append immediately, independent of its simulated response."""
         if at != UNCONDITIONAL and at != self.end:
             return AppendResult(AppendOutcome.CONDITION_FAILED)
         offset = self.end
         self.entries.extend(
             LogEntry(offset + number, key, value) for number, (key, value) in enumerate(entries)
         )
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+        appended, self._appended = self._appended, asyncio.Event()
+        appended.set()
         return AppendResult(AppendOutcome.APPENDED, offset)
 
     def catch_up(self) -> None:
-        """Carry out the appends that are late."""
-        late, self._late = self._late, []
-        for entries, at in late:
+        """Apply the delayed appends."""
+        delayed, self._delayed_appends = self._delayed_appends, []
+        for entries, at in delayed:
             self.do_append(entries, at)
 
-    def forget_history(self) -> None:
-        """Drop every record that is not the newest of its key from what can be read on."""
+    def compact(self) -> None:
+        """Simulate compaction: earlier entries remain readable only as the newest of their key."""
         self.first_kept = self.end
 
 
 class MemoryLog(MemoryTopic):
-    """A keyed log: the topic of steps, and the others under ``topics``."""
+    """A keyed log; it is itself the step topic and holds the others in ``topics``."""
 
     def __init__(self) -> None:
         super().__init__()
         self.topics: defaultdict[str, MemoryTopic] = defaultdict(MemoryTopic)
 
     def topic(self, name: str) -> MemoryTopic:
-        """Return a topic; all of them are down with the log."""
+        """Return a topic; while the log is down, all its topics are."""
         if name == STEP_TOPIC:
             return self
         topic = self.topics[name]
@@ -127,9 +128,9 @@
         return await MemoryTopic.newest(self.topic(topic), prefix)
 
     async def read(  # type: ignore[override]
-        self, topic: str, from_offset: int, wait_s: float, *, most_bytes: int = READ_BYTES
+        self, topic: str, from_offset: int, wait_s: float, *, max_bytes: int = MAX_READ_BYTES
     ) -> LogSlice:
-        return await MemoryTopic.read(self.topic(topic), from_offset, wait_s, most_bytes)
+        return await MemoryTopic.read(self.topic(topic), from_offset, wait_s, max_bytes)
 
     async def append(  # type: ignore[override]
         self, topic: str, entries: Sequence[tuple[str, bytes]], at: int = UNCONDITIONAL
--- a/tests/durable/test_crash_records.py
+++ b/tests/durable/test_crash_records.py
@@ -1,4 +1,4 @@
-"""Calls that end their targets, as the log keeps them: through restarts, written once."""
+"""Tests of the records of calls that crash their targets: restarts, duplicates, failures."""
 
 import asyncio
 import random
@@ -9,7 +9,7 @@
 
 from samphirecleat.crashes import CrashLedger, CrashVerdict, RunEnd
 from samphirecleat.durable import CrashRecords
-from samphirecleat.durable._crash_records import CRASH_TOPIC, OTHERS_WAIT_S
+from samphirecleat.durable._crash_records import CRASH_TOPIC, OTHER_WRITERS_DELAY_S
 from samphirecleat.observe import Observer
 
 from ..fleets import until
@@ -19,7 +19,7 @@
 
 
 class Node:
-    """A node's ledger and records over a shared log."""
+    """A node with its own ledger and crash records, on a shared log."""
 
     def __init__(self, log: MemoryLog, seed: int) -> None:
         self.ledger = CrashLedger()
@@ -45,7 +45,7 @@
             await self.task
 
 
-def play(body: Callable[[MemoryLog, list[Node]], Awaitable[None]], nodes: int = 2) -> None:
+def run_fleet(body: Callable[[MemoryLog, list[Node]], Awaitable[None]], nodes: int = 2) -> None:
     async def main() -> None:
         log = MemoryLog()
         fleet = [Node(log, seed) for seed in range(nodes)]
@@ -63,8 +63,8 @@
     return log.topic(CRASH_TOPIC).appends
 
 
-def test_a_refused_call_stays_refused_after_every_node_is_lost() -> None:
-    """All nodes lose power while a request that crashes its targets still comes back."""
+def test_refused_call_stays_refused_after_loss_of_all_nodes() -> None:
+    """All nodes lose power while a request that crashes its targets is still being retried."""
 
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         fleet[0].end_runs("a", "b", "c")
@@ -77,10 +77,10 @@
         await until(lambda: fleet[0].records.caught_up)
         assert fleet[0].standing() is CrashVerdict.REFUSED
 
-    play(body)
+    run_fleet(body)
 
 
-def test_ends_that_refused_nothing_yet_are_counted_after_a_restart_with_the_next_one() -> None:
+def test_earlier_crashes_count_after_a_restart() -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         fleet[0].end_runs("a", "b")
         await until(lambda: appends(log) == 1)
@@ -91,11 +91,11 @@
         fleet[1].end_runs("a", "b", "c")
         assert fleet[1].standing() is CrashVerdict.REFUSED
 
-    play(body)
+    run_fleet(body)
 
 
-def test_one_end_is_not_written_and_several_are_written_once_by_all_nodes() -> None:
-    """Each crash of a busy target is one end for all its calls: the log's rate is not for those."""
+def test_single_crash_is_not_recorded_and_several_are_recorded_once() -> None:
+    """Guards against a record per call of a crashed busy target, which would exhaust the log."""
 
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         for node in fleet:
@@ -106,44 +106,44 @@
             node.ledger.note_end(CALL, RunEnd("b", 1.0, 2.0, "n"), 2.0)
             node.records.record(CALL, own=number == 0)
         await until(lambda: appends(log) == 1)
-        await asyncio.sleep(OTHERS_WAIT_S + 0.3)
+        await asyncio.sleep(OTHER_WRITERS_DELAY_S + 0.3)
         assert appends(log) == 1
 
-    play(body, nodes=5)
+    run_fleet(body, nodes=5)
 
 
-def test_a_record_whose_writers_are_lost_is_written_by_another_node() -> None:
+def test_record_of_lost_nodes_is_written_by_another_node() -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         fleet[0].ledger.note_end(CALL, RunEnd("a", 0.0, 1.0, "lost"), 2.0)
         fleet[0].ledger.note_end(CALL, RunEnd("b", 1.0, 2.0, "lost"), 2.0)
         fleet[0].records.record(CALL, own=False)
         await until(lambda: CALL in fleet[1].ledger.suspects)
 
-    play(body)
+    run_fleet(body)
 
 
-def test_a_log_that_takes_nothing_is_asked_less_and_less_often() -> None:
+def test_rejected_appends_are_retried_with_backoff() -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         log.topic(CRASH_TOPIC).answers = ["refused"] * 100
         fleet[0].end_runs("a", "b")
         await asyncio.sleep(1.6)
         assert 2 <= appends(log) <= 5
 
-    play(body)
+    run_fleet(body)
 
 
 @pytest.mark.parametrize("answer", ["refused", "lost", "late"])
-def test_a_record_that_the_log_did_not_answer_for_is_written_again(answer: str) -> None:
+def test_unconfirmed_record_is_written_again(answer: str) -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         log.topic(CRASH_TOPIC).answers = [answer]
         fleet[0].end_runs("a", "b")
         await until(lambda: len(fleet[1].ledger.suspects) == 1)
         assert set(fleet[1].ledger.suspects[CALL].ends) == {"a", "b"}
 
-    play(body)
+    run_fleet(body)
 
 
-def test_an_answer_drops_the_record_everywhere() -> None:
+def test_successful_call_deletes_the_record_at_all_nodes() -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         fleet[0].end_runs("a", "b", "c")
         await until(lambda: len(fleet[1].ledger.suspects) == 1)
@@ -152,13 +152,13 @@
         await until(lambda: not fleet[1].ledger.suspects)
         assert (await log.newest(CRASH_TOPIC)).entries == []
 
-    play(body)
+    run_fleet(body)
 
 
-def test_a_record_that_is_none_is_passed_over() -> None:
+def test_malformed_record_is_skipped() -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         await log.append(CRASH_TOPIC, [("no mark", b"{"), (CALL.hex(), b"[1]")])
         fleet[0].end_runs("a", "b")
         await until(lambda: CALL in fleet[1].ledger.suspects)
 
-    play(body)
+    run_fleet(body)
--- a/tests/durable/test_item_decisions.py
+++ b/tests/durable/test_item_decisions.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from samphirecleat.durable import EngineView, GenerationEnd
+from samphirecleat.durable import EngineView, GenerationFailure
 from samphirecleat.durable._item_decisions import (
     ENGINE_BACKOFF_S,
     ITEM_BACKOFF_S,
@@ -125,23 +125,23 @@
 @pytest.mark.parametrize(
     ("reason", "failures", "want"),
     [
-        (GenerationEnd.IMPOSSIBLE, 0, FailureResponse(give_up_item=True)),
-        (GenerationEnd.FAILED, 2, FailureResponse(give_up_item=False)),
-        (GenerationEnd.FAILED, 3, FailureResponse(give_up_item=True)),
-        (GenerationEnd.REFUSED, 0, FailureResponse(engine_backoff_s=REFUSAL_BACKOFF_S)),
-        (GenerationEnd.BROKEN, 0, FailureResponse(engine_backoff_s=ENGINE_BACKOFF_S)),
-        (GenerationEnd.WRONG_INSTANCE, 0, FailureResponse(engine_backoff_s=ENGINE_BACKOFF_S)),
+        (GenerationFailure.IMPOSSIBLE, 0, FailureResponse(give_up_item=True)),
+        (GenerationFailure.FAILED, 2, FailureResponse(give_up_item=False)),
+        (GenerationFailure.FAILED, 3, FailureResponse(give_up_item=True)),
+        (GenerationFailure.REFUSED, 0, FailureResponse(engine_backoff_s=REFUSAL_BACKOFF_S)),
+        (GenerationFailure.BROKEN, 0, FailureResponse(engine_backoff_s=ENGINE_BACKOFF_S)),
+        (GenerationFailure.WRONG_INSTANCE, 0, FailureResponse(engine_backoff_s=ENGINE_BACKOFF_S)),
         (
-            GenerationEnd.SILENT,
+            GenerationFailure.SILENT,
             0,
             FailureResponse(item_backoff_s=0.0, engine_backoff_s=ENGINE_BACKOFF_S),
         ),
     ],
 )
-def test_failure_response(reason: GenerationEnd, failures: int, want: FailureResponse) -> None:
+def test_failure_response(reason: GenerationFailure, failures: int, want: FailureResponse) -> None:
     assert failure_response(reason, failures, max_attempts=3) == want
 
 
 def test_an_item_backs_off_after_a_failed_run() -> None:
     """An engine that fails an item at once would otherwise be called in a tight loop."""
-    assert failure_response(GenerationEnd.FAILED, 1, 3).item_backoff_s == ITEM_BACKOFF_S > 0.0
+    assert failure_response(GenerationFailure.FAILED, 1, 3).item_backoff_s == ITEM_BACKOFF_S > 0.0
--- a/tests/durable/test_runner.py
+++ b/tests/durable/test_runner.py
@@ -5,7 +5,7 @@
 import pytest
 
 from samphirecleat.crashes import MIN_ENDS_TO_REFUSE, CrashLedger
-from samphirecleat.durable import GenerationEnd
+from samphirecleat.durable import GenerationFailure
 from samphirecleat.durable._crash_backoff import BARRED_BACKOFF_S
 
 from ..crashes.guards import make_guard
@@ -92,10 +92,16 @@
 
 
 @pytest.mark.parametrize(
-    "end", [GenerationEnd.BROKEN, GenerationEnd.REFUSED, GenerationEnd.FAILED, GenerationEnd.SILENT]
+    "end",
+    [
+        GenerationFailure.BROKEN,
+        GenerationFailure.REFUSED,
+        GenerationFailure.FAILED,
+        GenerationFailure.SILENT,
+    ],
 )
 def test_an_item_is_resumed_after_a_run_that_ended_early(
-    end: GenerationEnd, monkeypatch: pytest.MonkeyPatch
+    end: GenerationFailure, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An engine refuses an item, fails it, cuts off its stream or stops sending.
 
@@ -125,7 +131,7 @@
     monkeypatch.setattr("samphirecleat.durable._item_decisions.ENGINE_BACKOFF_S", 30.0)
 
     async def body(stage: RunnerStage) -> None:
-        stage.engines.ends["e1"] = [GenerationEnd.SILENT] * 9
+        stage.engines.ends["e1"] = [GenerationFailure.SILENT] * 9
         await stage.accept(step(items=2))
         await stage.listed(2)
         await stage.accept(step("s2", items=4))
@@ -138,13 +144,13 @@
 @pytest.mark.parametrize(
     ("end", "times", "dead"),
     [
-        (GenerationEnd.FAILED, 3, True),
-        (GenerationEnd.FAILED, 2, False),
-        (GenerationEnd.IMPOSSIBLE, 1, True),
+        (GenerationFailure.FAILED, 3, True),
+        (GenerationFailure.FAILED, 2, False),
+        (GenerationFailure.IMPOSSIBLE, 1, True),
     ],
 )
 def test_an_item_is_given_up_only_after_the_allowed_failures(
-    end: GenerationEnd, times: int, dead: bool
+    end: GenerationFailure, times: int, dead: bool
 ) -> None:
     async def body(stage: RunnerStage) -> None:
         stage.engines.ends["e1"] = [end] * times
