--- a/samphirecleat/client/_caller.py
+++ b/samphirecleat/client/_caller.py
@@ -132,10 +132,10 @@
 
     async def _run(self, state: _CallState) -> AsyncGenerator[Mapping[str, Any], None]:
         """Send the request under one key after the other until one is answered."""
-        self._budget.note_first_attempt()
+        self._budget.record_first_attempt()
         error = RequestError(ErrorKind.NO_TARGET, "no node answered; it was not run")
         for number in range(MAX_KEYS):
-            if number and not (await self._pause(state) and self._budget.take()):
+            if number and not (await self._pause(state) and self._budget.try_spend()):
                 break
             try:
                 owner = await self._entries.choose(state.owners_tried)
--- a/samphirecleat/client/_node_call.py
+++ b/samphirecleat/client/_node_call.py
@@ -9,13 +9,13 @@
 
 from ..errors import RequestError
 from ..requests import (
-    NoAnswer,
-    NoStatus,
-    Probe,
-    ProgressWatch,
+    ProbeResult,
     RequestStatus,
     RunState,
+    SilenceDetector,
     SilentConnectionError,
+    StatusUnavailable,
+    Unreachable,
 )
 
 CONNECT_TIMEOUT_S: Final = 1.0
@@ -61,7 +61,7 @@
     :raises samphirecleat.errors.RequestError: the node's own answer.
     """
     left_s = request.give_up_at_s - asyncio.get_running_loop().time()
-    watch = ProgressWatch(
+    watch = SilenceDetector(
         lambda: _probe(address, key),
         period_s=progress_timeout_s,
         counts_progress=request.streamed,
@@ -80,7 +80,7 @@
                 yield _read_whole(response.status, await watch.wait(response.read()))
                 return
             while line := _read_line(await watch.wait(response.content.readline())):
-                watch.note_progress(1)
+                watch.record_progress(1)
                 yield line
                 if "end" in line:
                     return
@@ -118,7 +118,7 @@
     return line
 
 
-async def _probe(address: str, key: str) -> Probe:
+async def _probe(address: str, key: str) -> ProbeResult:
     """Ask the node on a new connection how far the key is."""
     timeout = aiohttp.ClientTimeout(total=PROBE_TIMEOUT_S)
     try:
@@ -127,13 +127,13 @@
             session.get(f"http://{address}/v1/requests/{key}") as response,
         ):
             if response.status != 200:
-                return NoStatus()
+                return StatusUnavailable()
             body = await response.json()
             return RequestStatus(RunState(body["state"]), int(body["progress"]))
     except (aiohttp.ClientError, TimeoutError, OSError):
-        return NoAnswer()
+        return Unreachable()
     except (ValueError, KeyError, TypeError):
-        return NoStatus()
+        return StatusUnavailable()
 
 
 class Resumption:
--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -122,7 +122,7 @@
     ) -> None:
         limit = self._policies.retries
         budget = self._budgets.setdefault(service.name, RetryBudget(limit.ratio, limit.cap))
-        budget.note_first_attempt()
+        budget.record_first_attempt()
         while True:
             self._check_standing(call, attempts)
             target = self._choose(service, call, attempts.tried)
@@ -155,7 +155,7 @@
                         raise _weaken(final, attempts.may_have_run) from error
                     case TryElsewhere(error=final, spends_budget=spends_budget):
                         attempts.last_error = final
-                        if spends_budget and not budget.take():
+                        if spends_budget and not budget.try_spend():
                             raise _weaken(final, attempts.may_have_run) from error
 
     def _guard_of(self, call: Call) -> CrashGuard | None:
--- a/samphirecleat/entry/_callers.py
+++ b/samphirecleat/entry/_callers.py
@@ -21,8 +21,8 @@
     Call,
     ForwardTo,
     JoinHere,
-    KeyBook,
     RequestKey,
+    RequestKeyTable,
     RequestStatus,
     RunState,
     StartHere,
@@ -57,7 +57,7 @@
     def __init__(
         self,
         board: Blackboard,
-        key_book: KeyBook,
+        request_keys: RequestKeyTable,
         store: AnswerStore,
         dispatcher: Dispatcher,
         peers: PeerClient,
@@ -66,7 +66,7 @@
     ) -> None:
         """Wire the parts that a request passes through."""
         self._board = board
-        self._key_book = key_book
+        self._request_keys = request_keys
         self._store = store
         self._dispatcher = dispatcher
         self._peers = peers
@@ -114,9 +114,9 @@
         :raises samphirecleat.errors.RequestError: KEY_MALFORMED.
         """
         key = parse_key(key_text)
-        if not self._key_book.owns(key):
+        if not self._request_keys.owns(key):
             return RequestStatus(RunState.WAITING, 0)
-        return self._key_book.status(key, _now_s())
+        return self._request_keys.status(key, _now_s())
 
     async def call(self, request: web.Request) -> web.StreamResponse:
         """Run one request and return its answer, whole or as lines."""
@@ -153,7 +153,7 @@
     async def serve_forwarded(self, request: ForwardRequest) -> AsyncGenerator[AnswerLine, None]:
         """Run a call that another node forwarded; this node must own its key."""
         key = parse_key(request.key)
-        if not self._key_book.owns(key):
+        if not self._request_keys.owns(key):
             raise _owner_gone(key)
         headers = CallHeaders(
             request.deadline_in_s, request.priority, request.idempotent, request.traceparent
@@ -178,7 +178,7 @@
         its way here: the key's owner alone can tell, and can keep it from running.
         """
         if key is not None and error.ran is Ran.NO:
-            error.ran = self._key_book.refuse(key, _now_s())
+            error.ran = self._request_keys.refuse(key, _now_s())
         return error
 
     def _accept(
@@ -192,7 +192,7 @@
         call = self._make_call(service, method, body, headers, key)
         if key is None:
             return _Accepted(call, self._run_without_key(call))
-        match self._key_book.bind(key, call.body, _now_s()):
+        match self._request_keys.bind(key, call.body, _now_s()):
             case StartHere(answer=answer):
                 self._start(call, answer)
                 return _Accepted(call, answer.read(call.deadline_at_s + READER_SLACK_S))
@@ -258,7 +258,7 @@
             raise RequestError(
                 ErrorKind.OVERLOADED, "this node holds as many answers as it may", retry_after_s=1.0
             )
-        answer = self._store.open()
+        answer = self._store.create_log()
         cancel = self._start(call, answer)
         try:
             async with aclosing(answer.read(call.deadline_at_s + READER_SLACK_S)) as lines:
@@ -267,7 +267,7 @@
         finally:
             cancel()
             answer.close()
-            self._store.forget(answer)
+            self._store.release(answer)
 
     def _forward(self, call: Call, key: RequestKey) -> AsyncGenerator[AnswerLine, None]:
         view = self._board.members.get(key.node_id)
--- a/samphirecleat/node.py
+++ b/samphirecleat/node.py
@@ -24,7 +24,7 @@
 from .observe import Observer
 from .peers import HeartbeatCodec, PeerClient, PeerServer
 from .platform import HttpHostList, HttpLog, HttpWeightStore
-from .requests import AnswerStore, KeyBook
+from .requests import AnswerStore, RequestKeyTable
 from .settings import Settings
 from .targets import TargetClient, is_listening, make_connector
 
@@ -121,7 +121,7 @@
         )
         log = HttpLog(self._session, settings.log_url)
         store = AnswerStore(settings.bounds.answer_store_bytes)
-        self.key_book = KeyBook(
+        self.request_keys = RequestKeyTable(
             settings.node_id,
             board.identity.incarnation,
             store,
@@ -208,7 +208,7 @@
             self._policies.swaps,
         )
         self.callers = CallerEntry(
-            board, self.key_book, store, self.dispatcher, self.peers, self.observer, timings
+            board, self.request_keys, store, self.dispatcher, self.peers, self.observer, timings
         )
 
     def _build_crash_guard(self) -> None:
@@ -306,10 +306,10 @@
             leaving=self.board.leaving,
             ready=self.board.ready,
             config_revision=self.board.config.revision,
-            key_epoch=self.key_book.epoch(now_s),
+            key_epoch=self.request_keys.epoch(now_s),
             in_flight=self.limiter.in_flight,
             reads_log=self.config_reader.reads_log,
-            key_epoch_age_ms=int(self.key_book.epoch_age_s(now_s) * 1000.0),
+            key_epoch_age_ms=int(self.request_keys.epoch_age_s(now_s) * 1000.0),
         )
 
 
--- a/samphirecleat/peers/_client.py
+++ b/samphirecleat/peers/_client.py
@@ -17,13 +17,13 @@
 from ..requests import (
     AnswerLine,
     Call,
-    NoAnswer,
-    Probe,
-    ProgressWatch,
+    ProbeResult,
     RequestStatus,
     RunState,
+    SilenceDetector,
     SilentConnectionError,
     Span,
+    Unreachable,
 )
 from .peers_grpc import PeersStub
 from .peers_pb2 import (
@@ -96,7 +96,7 @@
     async def _read_forward(
         self, member: Member, call: Call, stream: Stream[ForwardRequest, ForwardChunk]
     ) -> AsyncGenerator[AnswerLine, None]:
-        watch = ProgressWatch(
+        watch = SilenceDetector(
             lambda: self.probe(member, call.request_id),
             period_s=self._progress_timeout_s,
             counts_progress=bool(call.body.get("stream", False)),
@@ -110,10 +110,10 @@
                     raise RequestError.from_body(json.loads(chunk.error))
                 if chunk.last:
                     return
-                watch.note_progress(1)
+                watch.record_progress(1)
                 yield decode_line(chunk.line)
 
-    async def probe(self, member: Member, key: str) -> Probe:
+    async def probe(self, member: Member, key: str) -> ProbeResult:
         """Ask a node on a new connection how far a key of its own is."""
         channel = _open_channel(member.peer_address)
         try:
@@ -122,7 +122,7 @@
             )
             return RequestStatus(RunState(reply.state), reply.progress)
         except (*PEER_FAILURES, ValueError):
-            return NoAnswer()
+            return Unreachable()
         finally:
             channel.close()
 
--- a/samphirecleat/requests/__init__.py
+++ b/samphirecleat/requests/__init__.py
@@ -4,18 +4,18 @@
 from ._answer_store import AnswerStore
 from ._call import AnswerLine, Call, Span, WorkClass, merge_spans
 from ._key import RequestKey, parse_key
-from ._key_book import Binding, ForwardTo, JoinHere, KeyBook, StartHere
+from ._key_book import Binding, ForwardTo, JoinHere, RequestKeyTable, StartHere
 from ._progress import (
-    NoAnswer,
-    NoStatus,
-    Probe,
-    ProgressWatch,
+    ProbeResult,
     RequestStatus,
     RunState,
+    SilenceDetector,
     Silent,
     SilentConnectionError,
     Slow,
-    decide_silence,
+    StatusUnavailable,
+    Unreachable,
+    classify_silence,
 )
 from ._refused_keys import RefusedKeys
 from ._retry_budget import RetryBudget
@@ -28,23 +28,23 @@
     "Call",
     "ForwardTo",
     "JoinHere",
-    "KeyBook",
-    "NoAnswer",
-    "NoStatus",
-    "Probe",
-    "ProgressWatch",
+    "ProbeResult",
     "RefusedKeys",
     "RequestKey",
+    "RequestKeyTable",
     "RequestStatus",
     "RetryBudget",
     "RunState",
+    "SilenceDetector",
     "Silent",
     "SilentConnectionError",
     "Slow",
     "Span",
     "StartHere",
+    "StatusUnavailable",
+    "Unreachable",
     "WorkClass",
-    "decide_silence",
+    "classify_silence",
     "join_lines",
     "merge_spans",
     "parse_key",
--- a/samphirecleat/requests/_answer_store.py
+++ b/samphirecleat/requests/_answer_store.py
@@ -28,11 +28,11 @@
         """Whether one more answer may be started."""
         return self._held_bytes < self._max_bytes
 
-    def open(self) -> AnswerLog:
+    def create_log(self) -> AnswerLog:
         """Return a new log whose size is counted here."""
         return AnswerLog(self._note)
 
-    def forget(self, log: AnswerLog) -> None:
+    def release(self, log: AnswerLog) -> None:
         """Let go of an ended answer that nobody will ask for again."""
         log.discard()
         self._ended.pop(id(log), None)
--- a/samphirecleat/requests/_key_book.py
+++ b/samphirecleat/requests/_key_book.py
@@ -60,7 +60,7 @@
     answer: AnswerLog
 
 
-class KeyBook:
+class RequestKeyTable:
     """Binds request keys for one incarnation, in bounded memory."""
 
     def __init__(
@@ -129,7 +129,7 @@
                 "this node remembers as many requests as it may; try again later",
                 retry_after_s=self._epoch_s,
             )
-        entry = _Entry(key, digest_body(body), self._store.open())
+        entry = _Entry(key, digest_body(body), self._store.create_log())
         self._entries[str(key)] = entry
         return StartHere(entry.answer)
 
@@ -186,7 +186,7 @@
         for text, entry in list(self._entries.items()):
             if entry.key.epoch <= epoch - EPOCHS_KEPT and _is_over(entry):
                 del self._entries[text]
-                self._store.forget(entry.answer)
+                self._store.release(entry.answer)
 
 
 def _is_over(entry: _Entry) -> bool:
--- a/samphirecleat/requests/_progress.py
+++ b/samphirecleat/requests/_progress.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class NoStatus:
+class StatusUnavailable:
     """The other side lives but cannot tell of one request.
 
     ``queued`` holds when it says that requests wait for their turn there.
@@ -45,11 +45,11 @@
 
 
 @dataclass(frozen=True)
-class NoAnswer:
+class Unreachable:
     """The other side gives no answer on a new connection either."""
 
 
-Probe = RequestStatus | NoStatus | NoAnswer
+ProbeResult = RequestStatus | StatusUnavailable | Unreachable
 
 
 @dataclass(frozen=True)
@@ -68,22 +68,22 @@
     """The connection is taken for dead; the outcome of the request is not known."""
 
 
-def decide_silence(
-    probe: Probe, received: int | None, quiet_periods: int, patience: int | None
+def classify_silence(
+    probe: ProbeResult, received: int | None, quiet_periods: int, max_quiet_periods: int | None
 ) -> Slow | Silent:
     """Decide what a quiet connection is after a probe.
 
     ``received`` is the progress that came in, None where an answer comes only as
-    a whole. ``patience`` is how many quiet periods a side that cannot tell of one
+    a whole. ``max_quiet_periods`` is how many quiet periods a side that cannot tell of one
     request is given, None for as many as the deadline allows.
     """
     match probe:
-        case NoAnswer():
+        case Unreachable():
             return Silent("no answer on a new connection either")
-        case NoStatus(queued=queued):
+        case StatusUnavailable(queued=queued):
             may_be_queued = queued and not received
             factor = QUEUED_PATIENCE_FACTOR if may_be_queued else 1
-            if patience is not None and quiet_periods >= patience * factor:
+            if max_quiet_periods is not None and quiet_periods >= max_quiet_periods * factor:
                 return Silent(f"nothing came in {quiet_periods} periods")
             return Slow()
         case RequestStatus(state=RunState.UNKNOWN):
@@ -98,7 +98,7 @@
             return Slow()
 
 
-class ProgressWatch:
+class SilenceDetector:
     """Waits on one request's connection and gives up when it has gone silent.
 
     Used as an asynchronous context manager around all waits of one request. One
@@ -108,23 +108,23 @@
 
     def __init__(
         self,
-        probe: Callable[[], Awaitable[Probe]],
+        probe: Callable[[], Awaitable[ProbeResult]],
         *,
         period_s: float,
         counts_progress: bool,
-        patience: int | None = None,
+        max_quiet_periods: int | None = None,
     ) -> None:
         """Probe after each ``period_s`` in which nothing came."""
         self._probe = probe
         self._period_s = period_s
         self._received: int | None = 0 if counts_progress else None
-        self._patience = patience
+        self._max_quiet_periods = max_quiet_periods
         self._waiter: asyncio.Task[Any] | None = None
         self._waits = 0
         self._silence = ""
         self._guard: asyncio.Task[None] | None = None
 
-    async def __aenter__(self) -> "ProgressWatch":
+    async def __aenter__(self) -> "SilenceDetector":
         """Start the guard."""
         self._guard = asyncio.get_running_loop().create_task(self._watch())
         return self
@@ -134,7 +134,7 @@
         assert self._guard is not None
         self._guard.cancel()
 
-    def note_progress(self, amount: int) -> None:
+    def record_progress(self, amount: int) -> None:
         """Count what came in, in the unit in which the other side counts."""
         if self._received is not None:
             self._received += amount
@@ -169,7 +169,7 @@
                 continue
             quiet_periods += 1
             probe = await self._probe()
-            match decide_silence(probe, self._received, quiet_periods, self._patience):
+            match classify_silence(probe, self._received, quiet_periods, self._max_quiet_periods):
                 case Silent(detail=detail):
                     # What the probe tells of may have been sent just before it was
                     # asked; a working connection brings it within the grace.
--- a/samphirecleat/requests/_retry_budget.py
+++ b/samphirecleat/requests/_retry_budget.py
@@ -14,11 +14,11 @@
         self._cap = cap
         self._tokens = cap
 
-    def note_first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Earn a share of a retry."""
         self._tokens = min(self._cap, self._tokens + self._ratio)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one retry; False when the budget is empty."""
         if self._tokens < 1.0:
             return False
--- a/samphirecleat/targets/_client.py
+++ b/samphirecleat/targets/_client.py
@@ -12,13 +12,13 @@
 from ..requests import (
     AnswerLine,
     Call,
-    NoAnswer,
-    NoStatus,
-    Probe,
-    ProgressWatch,
+    ProbeResult,
     RequestStatus,
     RunState,
+    SilenceDetector,
     SilentConnectionError,
+    StatusUnavailable,
+    Unreachable,
 )
 from ._cut import is_cut
 from ._errors import Failed, Lost, NotSent, Refused, TargetError
@@ -106,7 +106,7 @@
             while not reader.ended:
                 before = reader.tokens
                 line = reader.read(await watch.wait(_read_line(response)))
-                watch.note_progress(reader.tokens - before)
+                watch.record_progress(reader.tokens - before)
                 if line is not None:
                     yield line
 
@@ -135,15 +135,15 @@
 
     def _watch(
         self, target: TargetView, call: Call, *, counts_progress: bool, patience: int | None
-    ) -> ProgressWatch:
-        return ProgressWatch(
+    ) -> SilenceDetector:
+        return SilenceDetector(
             lambda: self.probe(target, call.request_id),
             period_s=self._progress_timeout_s,
             counts_progress=counts_progress,
-            patience=patience,
+            max_quiet_periods=patience,
         )
 
-    async def probe(self, target: TargetView, request_id: str) -> Probe:
+    async def probe(self, target: TargetView, request_id: str) -> ProbeResult:
         """Ask a target on a new connection how far a request is."""
         timeout = aiohttp.ClientTimeout(total=self._probe_timeout_s)
         params = {"request_id": request_id}
@@ -158,11 +158,11 @@
                 f"http://{target.address}/v1/load", timeout=timeout
             ) as response:
                 body = await response.json()
-                return NoStatus(queued=int(body["waiting"]) > 0)
+                return StatusUnavailable(queued=int(body["waiting"]) > 0)
         except (aiohttp.ClientError, TimeoutError, OSError):
-            return NoAnswer()
+            return Unreachable()
         except (ValueError, KeyError, TypeError):
-            return NoStatus()
+            return StatusUnavailable()
 
     async def cancel(self, target: TargetView, request_id: str) -> None:
         """Ask an engine on a new connection to stop a run; its failure only costs tokens."""
--- a/tests/client/test_caller.py
+++ b/tests/client/test_caller.py
@@ -31,7 +31,7 @@
 
     def owner(self) -> Node:
         """Return the node that is working on the only call."""
-        (node,) = [node for node in self.fleet.nodes if len(node.key_book)]
+        (node,) = [node for node in self.fleet.nodes if len(node.request_keys)]
         return node
 
     async def kill(self, node: Node) -> None:
--- a/tests/controllers/admission/test_retries.py
+++ b/tests/controllers/admission/test_retries.py
@@ -54,6 +54,6 @@
     budget = RetryBudget(0.2, 20.0)
     retries = 0
     for _ in range(1_000):
-        budget.note_first_attempt()
-        retries += sum(budget.take() for _ in range(MAX_ATTEMPTS - 1))
+        budget.record_first_attempt()
+        retries += sum(budget.try_spend() for _ in range(MAX_ATTEMPTS - 1))
     assert 200 <= retries <= 225
--- a/tests/requests/test_at_most_once.py
+++ b/tests/requests/test_at_most_once.py
@@ -29,8 +29,8 @@
     AnswerStore,
     ForwardTo,
     JoinHere,
-    KeyBook,
     RequestKey,
+    RequestKeyTable,
     StartHere,
 )
 
@@ -100,8 +100,8 @@
     def _ended_waiters(self) -> list[Waiter]:
         return [waiter for waiter in self.waiters if waiter.answer.closed]
 
-    def _new_book(self, node: str) -> KeyBook:
-        return KeyBook(
+    def _new_book(self, node: str) -> RequestKeyTable:
+        return RequestKeyTable(
             node,
             f"{self.incarnations[node]:x}",
             AnswerStore(3_000),
--- a/tests/requests/test_key_book.py
+++ b/tests/requests/test_key_book.py
@@ -11,9 +11,9 @@
     AnswerLog,
     AnswerStore,
     JoinHere,
-    KeyBook,
     RefusedKeys,
     RequestKey,
+    RequestKeyTable,
     Span,
     StartHere,
     parse_key,
@@ -23,16 +23,16 @@
 BODY = {"prompt": "a quote"}
 
 
-def make_book(max_keys: int = 100, max_bytes: int = 1_000_000) -> KeyBook:
+def make_book(max_keys: int = 100, max_bytes: int = 1_000_000) -> RequestKeyTable:
     store = AnswerStore(max_bytes)
-    return KeyBook("n1", "aa", store, epoch_s=EPOCH_S, max_keys=max_keys, now_s=0.0)
+    return RequestKeyTable("n1", "aa", store, epoch_s=EPOCH_S, max_keys=max_keys, now_s=0.0)
 
 
 def key(unique: str = "k", epoch: int = 0) -> RequestKey:
     return RequestKey("n1", "aa", epoch, unique)
 
 
-def start(book: KeyBook, a_key: RequestKey, now_s: float = 0.0) -> AnswerLog:
+def start(book: RequestKeyTable, a_key: RequestKey, now_s: float = 0.0) -> AnswerLog:
     binding = book.bind(a_key, BODY, now_s)
     assert isinstance(binding, StartHere)
     return binding.answer
@@ -164,7 +164,7 @@
 
 def test_a_slow_reader_and_a_late_joiner_get_the_same_answer() -> None:
     async def scenario() -> None:
-        answer = AnswerStore(1_000_000).open()
+        answer = AnswerStore(1_000_000).create_log()
         reader = answer.read()
         answer.add({"text": "a ", "spans": [Span(1, 1)]})
         first = await anext(reader)
@@ -182,7 +182,7 @@
 
 def test_a_reader_gives_up_at_its_own_deadline_and_the_run_goes_on() -> None:
     async def scenario() -> None:
-        answer = AnswerStore(1_000_000).open()
+        answer = AnswerStore(1_000_000).create_log()
         with pytest.raises(RequestError) as caught:
             await read_all(answer, asyncio.get_running_loop().time())
         assert (caught.value.kind, caught.value.ran) == (ErrorKind.DEADLINE_EXCEEDED, Ran.UNKNOWN)
@@ -195,13 +195,13 @@
 
 def test_the_store_counts_nothing_once_all_is_forgotten() -> None:
     store = AnswerStore(100_000)
-    logs = [store.open() for _ in range(3)]
+    logs = [store.create_log() for _ in range(3)]
     for log in logs:
         log.add({"text": "x" * 100, "spans": [Span(1, 1)]})
         log.add({"text": "y" * 100, "spans": [Span(1, 1)], "end": "stop"})
         log.close()
     for log in logs:
-        store.forget(log)
+        store.release(log)
     assert store.held_bytes == 0
 
 
--- a/tests/requests/test_progress.py
+++ b/tests/requests/test_progress.py
@@ -5,23 +5,23 @@
 import pytest
 
 from samphirecleat.requests import (
-    NoAnswer,
-    NoStatus,
-    Probe,
-    ProgressWatch,
+    ProbeResult,
     RequestStatus,
     RunState,
+    SilenceDetector,
     Silent,
     SilentConnectionError,
     Slow,
-    decide_silence,
+    StatusUnavailable,
+    Unreachable,
+    classify_silence,
 )
 
 
 @pytest.mark.parametrize(
     ("probe", "received", "quiet_periods", "verdict"),
     [
-        (NoAnswer(), 0, 1, Silent),
+        (Unreachable(), 0, 1, Silent),
         (RequestStatus(RunState.WAITING, 0), 0, 50, Slow),
         (RequestStatus(RunState.RUNNING, 5), 5, 50, Slow),
         (RequestStatus(RunState.RUNNING, 6), 5, 1, Silent),
@@ -29,21 +29,25 @@
         (RequestStatus(RunState.ENDED, 5), 5, 1, Silent),
         (RequestStatus(RunState.ENDED, 0), None, 1, Silent),
         (RequestStatus(RunState.UNKNOWN, 0), 0, 1, Silent),
-        (NoStatus(), 0, 1, Slow),
-        (NoStatus(), 0, 2, Silent),
-        (NoStatus(queued=True), 0, 2, Slow),
-        (NoStatus(queued=True), 3, 2, Silent),
-        (NoStatus(queued=True), 0, 8, Silent),
+        (StatusUnavailable(), 0, 1, Slow),
+        (StatusUnavailable(), 0, 2, Silent),
+        (StatusUnavailable(queued=True), 0, 2, Slow),
+        (StatusUnavailable(queued=True), 3, 2, Silent),
+        (StatusUnavailable(queued=True), 0, 8, Silent),
     ],
 )
 def test_the_verdict_on_a_quiet_connection(
-    probe: Probe, received: int | None, quiet_periods: int, verdict: type
+    probe: ProbeResult, received: int | None, quiet_periods: int, verdict: type
 ) -> None:
-    assert isinstance(decide_silence(probe, received, quiet_periods, patience=2), verdict)
+    assert isinstance(
+        classify_silence(probe, received, quiet_periods, max_quiet_periods=2), verdict
+    )
 
 
 def test_without_a_bound_a_side_that_lives_is_waited_for() -> None:
-    assert isinstance(decide_silence(NoStatus(), None, 1_000, patience=None), Slow)
+    assert isinstance(
+        classify_silence(StatusUnavailable(), None, 1_000, max_quiet_periods=None), Slow
+    )
 
 
 def test_a_slow_step_is_waited_for_and_a_silent_one_given_up() -> None:
@@ -52,15 +56,15 @@
     Given up too early, a slow answer would be lost; never given up, the caller of
     a dead one would wait to its deadline.
     """
-    probes: list[Probe] = [RequestStatus(RunState.WAITING, 0)] * 3
+    probes: list[ProbeResult] = [RequestStatus(RunState.WAITING, 0)] * 3
 
-    async def answer_probe() -> Probe:
+    async def answer_probe() -> ProbeResult:
         if len(probes) == 1:
             ready.set()
         return probes.pop(0) if probes else RequestStatus(RunState.ENDED, 1)
 
     async def scenario() -> None:
-        watch = ProgressWatch(answer_probe, period_s=0.01, counts_progress=True)
+        watch = SilenceDetector(answer_probe, period_s=0.01, counts_progress=True)
         async with watch:
             await watch.wait(ready.wait())
             with pytest.raises(SilentConnectionError):
@@ -74,11 +78,11 @@
 def test_a_wait_that_is_cancelled_by_another_ends_as_cancelled() -> None:
     """The deadline passes, or the caller goes away, while a connection is quiet."""
 
-    async def answer_probe() -> Probe:
-        return NoAnswer()
+    async def answer_probe() -> ProbeResult:
+        return Unreachable()
 
     async def scenario() -> None:
-        watch = ProgressWatch(answer_probe, period_s=5.0, counts_progress=True)
+        watch = SilenceDetector(answer_probe, period_s=5.0, counts_progress=True)
         async with watch:
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(0.02):
@@ -89,14 +93,14 @@
 
 def test_time_that_the_reader_takes_is_not_the_connections() -> None:
     """A caller reads slowly between two lines that have come in time."""
-    probes: list[Probe] = []
+    probes: list[ProbeResult] = []
 
-    async def answer_probe() -> Probe:
-        probes.append(NoAnswer())
-        return NoAnswer()
+    async def answer_probe() -> ProbeResult:
+        probes.append(Unreachable())
+        return Unreachable()
 
     async def scenario() -> None:
-        watch = ProgressWatch(answer_probe, period_s=0.01, counts_progress=True)
+        watch = SilenceDetector(answer_probe, period_s=0.01, counts_progress=True)
         async with watch:
             for _ in range(3):
                 await watch.wait(asyncio.sleep(0))
