--- a/samphirecleat/requests/__init__.py
+++ b/samphirecleat/requests/__init__.py
@@ -1,4 +1,4 @@
-"""A request as the node holds it: its call, its key, and the lines of its answer."""
+"""State that a node keeps for a request: the call, its idempotency key and its answer."""
 
 from ._answer_log import AnswerLog, join_lines
 from ._answer_store import AnswerStore
--- a/samphirecleat/requests/_answer_log.py
+++ b/samphirecleat/requests/_answer_log.py
@@ -1,4 +1,4 @@
-"""The lines of one answer, kept so that every reader sees them all and in order."""
+"""Replayable buffer for the lines of one answer."""
 
 import asyncio
 import json
@@ -9,86 +9,87 @@
 from ._call import AnswerLine, Span, merge_spans
 
 LINE_OVERHEAD_BYTES: Final = 500
-SizeListener = Callable[["AnswerLog", int], None]
+ResizeCallback = Callable[["AnswerLog", int], None]
 
 
-def _ignore_size(_log: "AnswerLog", _grown_bytes: int) -> None:
+def _ignore_resize(_log: "AnswerLog", _delta_bytes: int) -> None:
     return
 
 
 class AnswerLog:
-    """Collects an answer from its run and replays it to any number of readers.
+    """Buffers the answer of a run and replays it to any number of readers.
 
-    The run never waits for a reader, so that a caller who reads slowly or goes
-    away holds up nobody. What bounds the memory is the
-    :class:`~samphirecleat.requests.AnswerStore` that made the log: it hears of
-    each change in size and may discard the lines of an answer that has ended.
+    Every reader gets all lines in order. The run never blocks on a reader, so a
+    slow or disconnected caller delays nobody. Memory is bounded by the
+    :class:`~samphirecleat.requests.AnswerStore` that created the log: it is
+    notified of each change in size and may discard the lines of a closed answer.
     """
 
-    def __init__(self, on_size: SizeListener = _ignore_size) -> None:
-        """Start with no line and not closed; tell ``on_size`` of every change."""
-        self._on_size = on_size
+    def __init__(self, on_resize: ResizeCallback = _ignore_resize) -> None:
+        """Create an open, empty log that reports each change in size to ``on_resize``."""
+        self._on_resize = on_resize
         self._lines: list[AnswerLine] = []
         self._error: RequestError | None = None
         self._closed = False
         self._discarded_lines = 0
-        self._added = 0
-        self._grew = asyncio.Event()
+        self._lines_added = 0
+        self._changed = asyncio.Event()
         self.readers = 0
         self.size_bytes = 0
         self.target = ""
-        """The target that the run is at, or was last."""
+        """Address of the target that serves the run, or that served it last."""
 
     @property
     def closed(self) -> bool:
-        """Whether the answer is whole or has failed."""
+        """Whether the answer is complete or has failed."""
         return self._closed
 
     @property
     def error(self) -> RequestError | None:
-        """The error that ended the answer, None while it has none."""
+        """The error that the answer was closed with, or None."""
         return self._error
 
     @property
     def started(self) -> bool:
-        """Whether a reader may have seen a part of it."""
-        return self._added > 0
+        """Whether a reader may have seen part of the answer."""
+        return self._lines_added > 0
 
     @property
     def lines_added(self) -> int:
-        """How many lines the run has added so far."""
-        return self._added
+        """Number of lines added so far, including discarded ones."""
+        return self._lines_added
 
     def add(self, line: AnswerLine) -> None:
-        """Add a line."""
+        """Append a line and wake the readers."""
         self._lines.append(line)
-        self._added += 1
+        self._lines_added += 1
         self._resize(self.size_bytes + estimate_bytes(line))
-        self._wake()
+        self._notify()
 
     def close(self, error: RequestError | None = None) -> None:
-        """End the answer, whole or with an error; the first end counts."""
+        """Close the answer, as complete or with an error; later calls have no effect."""
         if self._closed:
             return
         self._closed = True
         self._error = error
         self._compact()
-        self._on_size(self, 0)
-        self._wake()
+        self._on_resize(self, 0)
+        self._notify()
 
     def discard(self) -> None:
-        """Drop the lines of an ended answer; who reads it later is told so."""
+        """Drop the lines of a closed answer; later reads raise ANSWER_DISCARDED."""
         if self._closed and self._lines:
             self._discarded_lines = len(self._lines)
             self._lines.clear()
             self._resize(0)
 
-    async def read(self, give_up_at_s: float | None = None) -> AsyncGenerator[AnswerLine, None]:
-        """Yield every line from the first to the last, waiting for those to come.
+    async def read(self, deadline_at_s: float | None = None) -> AsyncGenerator[AnswerLine, None]:
+        """Yield every line in order, waiting for new ones until the answer is closed.
 
-        :raises samphirecleat.errors.RequestError: where the answer failed, or with
-            ANSWER_DISCARDED, or with DEADLINE_EXCEEDED when the loop's clock
-            reaches ``give_up_at_s`` before the end.
+        :raises samphirecleat.errors.RequestError: the error of a failed answer;
+            ANSWER_DISCARDED if lines were dropped before this reader got them;
+            DEADLINE_EXCEEDED when the event loop's clock reaches ``deadline_at_s``
+            before the answer is closed.
         """
         self.readers += 1
         try:
@@ -99,50 +100,50 @@
                     index += 1
                 if self._closed:
                     break
-                await self._wait(give_up_at_s)
+                await self._wait_for_line(deadline_at_s)
             if self._error is not None:
                 raise self._error
-            self._check_kept(index)
+            self._check_not_discarded(index)
         finally:
             self.readers -= 1
             self._compact()
 
-    def _check_kept(self, lines_read: int) -> None:
+    def _check_not_discarded(self, lines_read: int) -> None:
         if lines_read < self._discarded_lines:
             raise RequestError(
                 ErrorKind.ANSWER_DISCARDED,
-                "the request ran and its answer is no longer kept",
+                "the request was executed but its answer has been discarded",
             )
 
-    async def _wait(self, give_up_at_s: float | None) -> None:
-        grew = self._grew
+    async def _wait_for_line(self, deadline_at_s: float | None) -> None:
+        changed = self._changed
         try:
-            async with asyncio.timeout_at(give_up_at_s):
-                await grew.wait()
+            async with asyncio.timeout_at(deadline_at_s):
+                await changed.wait()
         except TimeoutError as error:
             raise RequestError(
-                ErrorKind.DEADLINE_EXCEEDED, "the run has not ended within this deadline"
+                ErrorKind.DEADLINE_EXCEEDED, "the run did not end before the deadline"
             ) from error
 
     def _compact(self) -> None:
-        """Join the lines of an ended answer while nobody reads it."""
+        """Merge the lines of a closed answer into one while it has no readers."""
         if self._closed and not self.readers and len(self._lines) > 1:
             joined = join_lines(self._lines)
             self._lines = [joined]
             self._resize(estimate_bytes(joined))
 
     def _resize(self, size_bytes: int) -> None:
-        grown_bytes = size_bytes - self.size_bytes
+        delta_bytes = size_bytes - self.size_bytes
         self.size_bytes = size_bytes
-        self._on_size(self, grown_bytes)
+        self._on_resize(self, delta_bytes)
 
-    def _wake(self) -> None:
-        self._grew.set()
-        self._grew = asyncio.Event()
+    def _notify(self) -> None:
+        self._changed.set()
+        self._changed = asyncio.Event()
 
 
 def join_lines(lines: list[AnswerLine]) -> AnswerLine:
-    """Return one line that says all that the given ones say together."""
+    """Merge lines into one: texts are concatenated, spans merged, other keys overwritten."""
     joined: AnswerLine = {}
     spans: list[Span] = []
     for line in lines:
@@ -156,7 +157,7 @@
 
 
 def estimate_bytes(line: AnswerLine) -> int:
-    """Return about how much memory a line holds, a little too much if anything."""
+    """Estimate the memory that a line occupies, erring on the high side."""
     result = json.dumps(line["result"]) if "result" in line else ""
     spans = line.get("spans", ())
     return LINE_OVERHEAD_BYTES + len(line.get("text", "")) + 2 * len(result) + 100 * len(spans)
--- a/samphirecleat/requests/_answer_store.py
+++ b/samphirecleat/requests/_answer_store.py
@@ -1,53 +1,53 @@
-"""Bounds the memory that all answers of a node hold together."""
+"""Memory bound for all answers that a node buffers."""
 
 from ._answer_log import AnswerLog
 
 
 class AnswerStore:
-    """Makes answer logs and keeps what they hold together within ``max_bytes``.
+    """Creates answer logs and limits their combined size to ``max_bytes``.
 
-    Answers that have ended are discarded, the oldest end first, and among them
-    those that nobody reads before those that somebody does. Answers still being
-    made are never touched; while they alone pass the bound, :attr:`has_room` is
-    false and nothing new may start.
+    Above the limit, closed answers are discarded: those without readers first,
+    and in the order in which they were closed. Open answers are never discarded;
+    while they alone reach the limit, :attr:`has_room` is false and no new request
+    may start.
     """
 
     def __init__(self, max_bytes: int) -> None:
-        """Start empty."""
+        """Create an empty store."""
         self._max_bytes = max_bytes
-        self._ended: dict[int, AnswerLog] = {}
-        self._held_bytes = 0
+        self._closed_logs: dict[int, AnswerLog] = {}
+        self._total_bytes = 0
 
     @property
-    def held_bytes(self) -> int:
-        """What all answers hold now."""
-        return self._held_bytes
+    def total_bytes(self) -> int:
+        """Combined estimated size of all answers."""
+        return self._total_bytes
 
     @property
     def has_room(self) -> bool:
-        """Whether one more answer may be started."""
-        return self._held_bytes < self._max_bytes
+        """Whether a new answer may be started."""
+        return self._total_bytes < self._max_bytes
 
     def create_log(self) -> AnswerLog:
-        """Return a new log whose size is counted here."""
-        return AnswerLog(self._note)
+        """Return a new log whose size counts toward the limit."""
+        return AnswerLog(self._record_resize)
 
     def release(self, log: AnswerLog) -> None:
-        """Let go of an ended answer that nobody will ask for again."""
+        """Discard a closed answer that will not be requested again."""
         log.discard()
-        self._ended.pop(id(log), None)
+        self._closed_logs.pop(id(log), None)
 
-    def _note(self, log: AnswerLog, grown_bytes: int) -> None:
-        self._held_bytes += grown_bytes
+    def _record_resize(self, log: AnswerLog, delta_bytes: int) -> None:
+        self._total_bytes += delta_bytes
         if log.closed and log.size_bytes:
-            self._ended.setdefault(id(log), log)
+            self._closed_logs.setdefault(id(log), log)
         elif log.closed:
-            self._ended.pop(id(log), None)
-        if self._held_bytes > self._max_bytes:
-            self._shrink()
+            self._closed_logs.pop(id(log), None)
+        if self._total_bytes > self._max_bytes:
+            self._discard_excess()
 
-    def _shrink(self) -> None:
-        for log in sorted(self._ended.values(), key=lambda ended: ended.readers > 0):
-            if self._held_bytes <= self._max_bytes:
+    def _discard_excess(self) -> None:
+        for log in sorted(self._closed_logs.values(), key=lambda closed: closed.readers > 0):
+            if self._total_bytes <= self._max_bytes:
                 return
             log.discard()
--- a/samphirecleat/requests/_key.py
+++ b/samphirecleat/requests/_key.py
@@ -1,4 +1,7 @@
-"""Request keys: text that names the incarnation which alone may start the request."""
+"""Idempotency keys of requests.
+
+A key names the incarnation of a node that is the only one allowed to start the request.
+"""
 
 import re
 from typing import Final, NamedTuple
@@ -12,7 +15,7 @@
 
 
 class RequestKey(NamedTuple):
-    """A parsed key. ``epoch`` counts the named incarnation's own key epochs."""
+    """A parsed key; ``epoch`` is a key epoch of the named incarnation."""
 
     node_id: str
     incarnation: str
@@ -20,7 +23,7 @@
     unique: str
 
     def __str__(self) -> str:
-        """Return the key as callers send it."""
+        """Return the key in the form that callers send; inverse of :func:`parse_key`."""
         return f"{self.node_id}.{self.incarnation}.{self.epoch}.{self.unique}"
 
 
@@ -33,6 +36,7 @@
     if match is None:
         raise RequestError(
             ErrorKind.KEY_MALFORMED,
-            "a key reads node.incarnation.epoch.unique; take the first three from /v1/entries",
+            "a key has the form node.incarnation.epoch.unique;"
+            " the first three parts come from /v1/entries",
         )
     return RequestKey(match["node_id"], match["incarnation"], int(match["epoch"]), match["unique"])
--- a/samphirecleat/requests/_key_book.py
+++ b/samphirecleat/requests/_key_book.py
@@ -1,9 +1,9 @@
-"""What this incarnation has started, by request key: the at-most-once record.
+"""At-most-once execution of keyed requests.
 
-Only the incarnation that a key names may start it, and it remembers each started
-key for as long as it would accept one of its epoch. An expired key is never
-started, so that a forgotten key can never run a second time. Nothing here rests
-on a clock that nodes share: epochs are counted by this process alone.
+Only the incarnation that a key names may start its request. It remembers each
+started key for at least as long as it accepts new keys of that epoch. Expired
+keys are never started, so a key that has been forgotten cannot run a second
+time. No clock is shared between nodes: epochs are counted by this process alone.
 """
 
 import hashlib
@@ -20,31 +20,30 @@
 from ._refused_keys import RefusedKeys
 
 EPOCHS_STARTED: Final = 2
-"""Keys of the present epoch and of the one before may start."""
+"""Keys of the current and the previous epoch may start a request."""
 
 EPOCHS_KEPT: Final = 3
-"""Ended keys are kept one epoch longer, so that a retry within the longest
-deadline still finds its answer although its key was handed out just before the
-epoch changed."""
+"""Keys of ended requests are kept one epoch longer: a retry within the longest
+deadline finds its answer even if its key was issued just before the epoch changed."""
 
 
 @dataclass(frozen=True)
 class StartHere:
-    """The key is new and is now bound: run it and fill its answer."""
+    """The key was new and is now bound: run the request and fill ``answer``."""
 
     answer: AnswerLog
 
 
 @dataclass(frozen=True)
 class JoinHere:
-    """The key was started before: read its answer, which may still grow."""
+    """The request was started before: read ``answer``, which may still be open."""
 
     answer: AnswerLog
 
 
 @dataclass(frozen=True)
 class ForwardTo:
-    """Another incarnation owns the key; only it may start the request."""
+    """Another incarnation owns the key: only it may start the request."""
 
     node_id: str
     incarnation: str
@@ -61,7 +60,7 @@
 
 
 class RequestKeyTable:
-    """Binds request keys for one incarnation, in bounded memory."""
+    """Request keys bound by one incarnation of a node, at most ``max_keys``."""
 
     def __init__(
         self,
@@ -73,7 +72,7 @@
         max_keys: int,
         now_s: float,
     ) -> None:
-        """Count epochs of ``epoch_s`` from ``now_s`` on this process's own clock."""
+        """Create an empty table whose epoch 0 begins at ``now_s``, on this process's clock."""
         self._node_id = node_id
         self._incarnation = incarnation
         self._store = store
@@ -81,37 +80,38 @@
         self._max_keys = max_keys
         self._started_at_s = now_s
         self._entries: dict[str, _Entry] = {}
-        self._refused: dict[int, RefusedKeys] = {}
-        self._swept_epoch = 0
+        self._refused_by_epoch: dict[int, RefusedKeys] = {}
+        self._cleaned_epoch = 0
 
     def __len__(self) -> int:
-        """Return how many keys are remembered."""
+        """Return the number of bound keys."""
         return len(self._entries)
 
     def epoch(self, now_s: float) -> int:
-        """Return the present epoch, which the entry list hands out."""
+        """Return the current epoch, which the entry list publishes."""
         return int((now_s - self._started_at_s) / self._epoch_s)
 
     def owns(self, key: RequestKey) -> bool:
-        """Whether this incarnation is the one that may start the key."""
+        """Return whether this incarnation is the one that may start the key's request."""
         return (key.node_id, key.incarnation) == (self._node_id, self._incarnation)
 
     def epoch_age_s(self, now_s: float) -> float:
-        """Return how long ago the present epoch began."""
+        """Return the time since the current epoch began."""
         return (now_s - self._started_at_s) % self._epoch_s
 
     def bind(self, key: RequestKey, body: Mapping[str, Any], now_s: float) -> Binding:
-        """Decide what this node may do with a key.
+        """Bind a key if it is new, and return what this node may do with it.
 
-        Whoever passes on an error of this method, or refuses a keyed request for
-        any other reason, first asks :meth:`refuse` what it may say of the run.
+        A caller of this method that passes on its error, or that refuses a keyed
+        request for any other reason, must first ask :meth:`refuse` whether the
+        refusal may say "not run".
 
-        :raises samphirecleat.errors.RequestError: KEY_EXPIRED, KEY_CONFLICT,
+        :raises samphirecleat.errors.RequestError: with KEY_EXPIRED, KEY_CONFLICT,
             KEY_TABLE_FULL or KEY_MALFORMED.
         """
         if not self.owns(key):
             return ForwardTo(key.node_id, key.incarnation)
-        self._sweep(now_s)
+        self._remove_expired(now_s)
         entry = self._entries.get(str(key))
         if entry is not None:
             return _join(entry, body)
@@ -119,14 +119,14 @@
         if self._was_refused(key):
             raise RequestError(
                 ErrorKind.KEY_CONFLICT,
-                "this key was refused before and will never run; make a new key",
+                "this key was refused earlier and will never run; use a new key",
                 ran=Ran.NO,
             )
         if len(self._entries) >= self._max_keys or not self._store.has_room:
-            # Evicting a live key would let a retry of it run a second time.
+            # Evicting a key would let a retry of its request run a second time.
             raise RequestError(
                 ErrorKind.KEY_TABLE_FULL,
-                "this node remembers as many requests as it may; try again later",
+                "the request key table or the answer store of this node is full; try again later",
                 retry_after_s=self._epoch_s,
             )
         entry = _Entry(key, digest_body(body), self._store.create_log())
@@ -134,23 +134,27 @@
         return StartHere(entry.answer)
 
     def refuse(self, key: RequestKey, now_s: float) -> Ran:
-        """Return what a refusal of this key may say, and make it stay true.
+        """Return whether a refusal of this key may say "not run", and ensure that it stays true.
 
-        ``NO`` is returned only for an own key that was not started and, from now
-        on, never will be. Anything else that this node cannot vouch for, such as
-        a key of another process or one that is already forgotten, is ``UNKNOWN``.
+        Returns ``Ran.NO`` only for a key of this incarnation whose request was not
+        started; the key is recorded and will never be started. Returns
+        ``Ran.UNKNOWN`` in all other cases, such as a key of another process or one
+        that has expired.
         """
         if not self.owns(key) or str(key) in self._entries:
             return Ran.UNKNOWN
         if not self._may_start(key, now_s):
             return Ran.UNKNOWN
-        self._sweep(now_s)
-        self._refused.setdefault(key.epoch, RefusedKeys()).add(str(key))
+        self._remove_expired(now_s)
+        self._refused_by_epoch.setdefault(key.epoch, RefusedKeys()).add(str(key))
         return Ran.NO
 
     def status(self, key: RequestKey, now_s: float) -> RequestStatus:
-        """Tell how far an own key is, for a caller whose connection went quiet."""
-        self._sweep(now_s)
+        """Return the status of a key's request, for a caller whose connection went quiet.
+
+        The state is ``RunState.UNKNOWN`` for a key that is not bound here.
+        """
+        self._remove_expired(now_s)
         entry = self._entries.get(str(key))
         if entry is None:
             return RequestStatus(RunState.UNKNOWN, 0)
@@ -166,41 +170,45 @@
             return
         if key.epoch > self.epoch(now_s):
             raise RequestError(
-                ErrorKind.KEY_MALFORMED, f"epoch {key.epoch} has not begun here", ran=Ran.UNKNOWN
+                ErrorKind.KEY_MALFORMED,
+                f"epoch {key.epoch} has not begun on this node",
+                ran=Ran.UNKNOWN,
             )
         raise RequestError(
-            ErrorKind.KEY_EXPIRED, "the key is too old to say whether it was started"
+            ErrorKind.KEY_EXPIRED, "the key is too old to tell whether its request was started"
         )
 
     def _was_refused(self, key: RequestKey) -> bool:
-        refused = self._refused.get(key.epoch)
+        refused = self._refused_by_epoch.get(key.epoch)
         return refused is not None and str(key) in refused
 
-    def _sweep(self, now_s: float) -> None:
-        """Forget ended keys of epochs that are no longer kept, once an epoch."""
+    def _remove_expired(self, now_s: float) -> None:
+        """Remove expired keys of ended requests and expired refusals, once per epoch."""
         epoch = self.epoch(now_s)
-        if epoch == self._swept_epoch:
+        if epoch == self._cleaned_epoch:
             return
-        self._swept_epoch = epoch
-        self._refused = {e: r for e, r in self._refused.items() if e > epoch - EPOCHS_STARTED}
+        self._cleaned_epoch = epoch
+        self._refused_by_epoch = {
+            e: r for e, r in self._refused_by_epoch.items() if e > epoch - EPOCHS_STARTED
+        }
         for text, entry in list(self._entries.items()):
-            if entry.key.epoch <= epoch - EPOCHS_KEPT and _is_over(entry):
+            if entry.key.epoch <= epoch - EPOCHS_KEPT and _is_unused(entry):
                 del self._entries[text]
                 self._store.release(entry.answer)
 
 
-def _is_over(entry: _Entry) -> bool:
+def _is_unused(entry: _Entry) -> bool:
     return entry.answer.closed and not entry.answer.readers
 
 
 def _join(entry: _Entry, body: Mapping[str, Any]) -> JoinHere:
     if entry.body_digest != digest_body(body):
         raise RequestError(
-            ErrorKind.KEY_CONFLICT, "this key was used with another body; make a new key"
+            ErrorKind.KEY_CONFLICT, "this key was used with a different body; use a new key"
         )
     return JoinHere(entry.answer)
 
 
 def digest_body(body: Mapping[str, Any]) -> bytes:
-    """Return a digest that tells two bodies apart."""
+    """Return a 16-byte digest of a body; the order of its keys does not matter."""
     return hashlib.blake2b(json.dumps(body, sort_keys=True).encode(), digest_size=16).digest()
--- a/samphirecleat/requests/_retry_budget.py
+++ b/samphirecleat/requests/_retry_budget.py
@@ -1,25 +1,25 @@
-"""Lets retries be a bounded share of first attempts."""
+"""Retry budget."""
 
 
 class RetryBudget:
-    """Lets retries be a bounded share of first attempts.
+    """Token bucket that limits retries to a share of first attempts.
 
-    Without it, a service whose targets all fail would get every request several
-    times over just when it is weakest.
+    Without it, a service whose targets all fail would receive every request
+    several times while it is least able to serve them.
     """
 
-    def __init__(self, ratio: float, cap: float) -> None:
-        """Start with ``cap`` retries and earn ``ratio`` of one per first attempt."""
+    def __init__(self, ratio: float, capacity: float) -> None:
+        """Start with ``capacity`` retries and earn ``ratio`` of one per first attempt."""
         self._ratio = ratio
-        self._cap = cap
-        self._tokens = cap
+        self._capacity = capacity
+        self._tokens = capacity
 
     def record_first_attempt(self) -> None:
-        """Earn a share of a retry."""
-        self._tokens = min(self._cap, self._tokens + self._ratio)
+        """Credit the budget for a first attempt."""
+        self._tokens = min(self._capacity, self._tokens + self._ratio)
 
     def try_spend(self) -> bool:
-        """Spend one retry; False when the budget is empty."""
+        """Spend one retry and return True, or return False if the budget is exhausted."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/tests/requests/test_at_most_once.py
+++ b/tests/requests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Callers that retry through nodes which restart, over a network that loses and doubles."""
+"""Stateful test of retries over restarting nodes and a lossy, duplicating network."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -38,23 +38,27 @@
 EPOCH_S = 10.0
 MAX_KEYS = 2
 BODY = {"prompt": "one quote"}
-PICK = st.integers(0, 30)
-STEPS_TAKEN: Counter[str] = Counter()
+INDEXES = st.integers(0, 30)
+EVENT_COUNTS: Counter[str] = Counter()
 
 
 @dataclass(eq=False)
 class ModelCall:
-    """One non-idempotent call of a caller, with every key it has used."""
+    """A non-idempotent call of a caller, with every key used for it.
+
+    ``tried_nodes`` are the nodes that the current key was sent to; ``duplicated`` is true
+    once a copy of the current message may still be in transit.
+    """
 
     keys: list[RequestKey] = field(default_factory=list)
-    asked: list[str] = field(default_factory=list)
-    doubled: bool = False
-    over: bool = False
+    tried_nodes: list[str] = field(default_factory=list)
+    duplicated: bool = False
+    ended: bool = False
 
 
 @dataclass(eq=False)
 class Message:
-    """A copy of a request on its way to a node; ``forwarded`` by another one."""
+    """A copy of a request in transit to a node, possibly forwarded by another node."""
 
     call: ModelCall
     key: RequestKey
@@ -64,7 +68,7 @@
 
 @dataclass(eq=False)
 class Run:
-    """A key that was bound at an incarnation and has not ended yet."""
+    """A request that an incarnation has started and that has not ended."""
 
     key: RequestKey
     answer: AnswerLog
@@ -72,7 +76,7 @@
 
 @dataclass(eq=False)
 class Waiter:
-    """A node that owes a caller the answer to a key."""
+    """A node that waits for an answer to pass it on to a caller."""
 
     call: ModelCall
     key: RequestKey
@@ -80,27 +84,27 @@
     answer: AnswerLog
 
 
-class AtMostOnce(RuleBasedStateMachine):
-    """Messages come late, twice or never; nodes restart; epochs pass."""
+class AtMostOnceMachine(RuleBasedStateMachine):
+    """Messages are delayed, duplicated or lost; nodes restart; epochs pass."""
 
     def __init__(self) -> None:
         super().__init__()
-        STEPS_TAKEN["interleavings"] += 1
+        EVENT_COUNTS["interleavings"] += 1
         self.now_s = 0.0
         self.incarnations = Counter(dict.fromkeys(NODES, 0))
-        self.books = {node: self._new_book(node) for node in NODES}
+        self.tables = {node: self._new_table(node) for node in NODES}
         self.entry_list = dict.fromkeys(NODES, (0, 0))
         self.calls: list[ModelCall] = []
         self.network: list[Message] = []
         self.runs: list[Run] = []
         self.waiters: list[Waiter] = []
-        self.ran: Counter[RequestKey] = Counter()
-        self.told_not_run: set[RequestKey] = set()
+        self.run_counts: Counter[RequestKey] = Counter()
+        self.reported_not_run: set[RequestKey] = set()
 
     def _ended_waiters(self) -> list[Waiter]:
         return [waiter for waiter in self.waiters if waiter.answer.closed]
 
-    def _new_book(self, node: str) -> RequestKeyTable:
+    def _new_table(self, node: str) -> RequestKeyTable:
         return RequestKeyTable(
             node,
             f"{self.incarnations[node]:x}",
@@ -115,63 +119,66 @@
         unique = f"c{self.calls.index(call)}-{len(call.keys)}"
         key = RequestKey(node, f"{incarnation:x}", epoch, unique)
         call.keys.append(key)
-        call.asked = [node]
-        call.doubled = False
+        call.tried_nodes = [node]
+        call.duplicated = False
         self.network.append(Message(call, key, node))
 
     @rule(node=st.sampled_from(NODES))
-    def call_a_node(self, node: str) -> None:
+    def start_call(self, node: str) -> None:
         """A caller starts a call."""
         call = ModelCall()
         self.calls.append(call)
         self._send_new_key(call, node)
 
     @rule(node=st.sampled_from(NODES))
-    def fetch_the_entry_list(self, node: str) -> None:
-        """Callers learn a node's incarnation and epoch."""
-        book = self.books[node]
-        self.entry_list[node] = (self.incarnations[node], book.epoch(self.now_s))
+    def refresh_entry_list(self, node: str) -> None:
+        """Callers learn the current incarnation and epoch of a node."""
+        table = self.tables[node]
+        self.entry_list[node] = (self.incarnations[node], table.epoch(self.now_s))
 
     @precondition(lambda self: self.network)
-    @rule(pick=PICK)
-    def deliver_a_message(self, pick: int) -> None:
+    @rule(index=INDEXES)
+    def deliver_message(self, index: int) -> None:
         """A message arrives, in any order."""
-        self._handle(self.network.pop(pick % len(self.network)))
+        self._handle(self.network.pop(index % len(self.network)))
 
     @precondition(lambda self: self.network)
-    @rule(pick=PICK)
-    def deliver_a_copy(self, pick: int) -> None:
-        """A message arrives that will arrive again."""
-        message = self.network[pick % len(self.network)]
-        message.call.doubled = True
+    @rule(index=INDEXES)
+    def deliver_duplicate(self, index: int) -> None:
+        """A message arrives and stays in transit, so that it may arrive again."""
+        message = self.network[index % len(self.network)]
+        message.call.duplicated = True
         self._handle(message)
 
     @precondition(lambda self: self.network)
-    @rule(pick=PICK)
-    def take_a_message_for_lost(self, pick: int) -> None:
-        """The caller gives up on it, and it may still arrive."""
-        message = self.network[pick % len(self.network)]
-        message.call.doubled = True
+    @rule(index=INDEXES)
+    def time_out_message(self, index: int) -> None:
+        """The caller considers a message lost although it may still arrive."""
+        message = self.network[index % len(self.network)]
+        message.call.duplicated = True
         self._react(message.call, message.key, AnswerLost())
 
     @precondition(lambda self: self.network)
-    @rule(pick=PICK)
-    def refuse_a_message(self, pick: int) -> None:
-        """As for a malformed header, a passed deadline, or a node without a text."""
-        message = self.network[pick % len(self.network)]
-        message.call.doubled = True
-        ran = self.books[message.node].refuse(message.key, self.now_s)
+    @rule(index=INDEXES)
+    def refuse_message(self, index: int) -> None:
+        """A node refuses a message, as for a malformed header or a passed deadline.
+
+        A node without a configuration does the same.
+        """
+        message = self.network[index % len(self.network)]
+        message.call.duplicated = True
+        ran = self.tables[message.node].refuse(message.key, self.now_s)
         self._answer(message, RequestError(ErrorKind.NOT_READY, "", ran=ran))
 
     @precondition(lambda self: self.runs)
-    @rule(pick=PICK, end=st.sampled_from(["whole", "failed", "refused", "unknown"]))
-    def end_a_run(self, pick: int, end: str) -> None:
-        """A run ends in one of the ways that a dispatcher knows."""
-        run = self.runs.pop(pick % len(self.runs))
+    @rule(index=INDEXES, end=st.sampled_from(["whole", "failed", "refused", "unknown"]))
+    def end_run(self, index: int, end: str) -> None:
+        """A run ends with one of the outcomes of the dispatcher."""
+        run = self.runs.pop(index % len(self.runs))
         if end == "refused":
             run.answer.close(RequestError(ErrorKind.OVERLOADED, ""))
             return
-        self.ran[run.key] += 1
+        self.run_counts[run.key] += 1
         if end == "whole":
             run.answer.add({"text": "x" * 700, "end": "stop"})
             run.answer.close()
@@ -180,11 +187,11 @@
             run.answer.close(RequestError(kind, ""))
 
     @precondition(lambda self: self._ended_waiters())
-    @rule(pick=PICK, lost=st.booleans())
-    def bring_an_answer(self, pick: int, lost: bool) -> None:
-        """An answer comes back, or is lost on its way."""
+    @rule(index=INDEXES, lost=st.booleans())
+    def deliver_answer(self, index: int, lost: bool) -> None:
+        """An answer reaches the caller or is lost in transit."""
         ended = self._ended_waiters()
-        waiter = ended[pick % len(ended)]
+        waiter = ended[index % len(ended)]
         self.waiters.remove(waiter)
         error = waiter.answer.error
         if lost:
@@ -192,34 +199,34 @@
         elif error is not None:
             self._answer(Message(waiter.call, waiter.key, waiter.node), error)
         else:
-            waiter.call.over = True
+            waiter.call.ended = True
 
     @rule(node=st.sampled_from(NODES), runs_first=st.booleans())
-    def restart_a_node(self, node: str, runs_first: bool) -> None:
-        """A node is replaced while its runs may or may not have run."""
+    def restart_node(self, node: str, runs_first: bool) -> None:
+        """A node is replaced before or after its open runs were executed."""
         for run in [r for r in self.runs if r.key.node_id == node]:
             self.runs.remove(run)
-            self.ran[run.key] += 1 if runs_first else 0
-        cut = [w for w in self.waiters if node in (w.node, w.key.node_id)]
-        self.waiters = [w for w in self.waiters if w not in cut]
+            self.run_counts[run.key] += 1 if runs_first else 0
+        lost = [w for w in self.waiters if node in (w.node, w.key.node_id)]
+        self.waiters = [w for w in self.waiters if w not in lost]
         self.incarnations[node] += 1
-        self.books[node] = self._new_book(node)
-        for waiter in cut:
+        self.tables[node] = self._new_table(node)
+        for waiter in lost:
             self._react(waiter.call, waiter.key, AnswerLost())
 
     @rule(seconds=st.sampled_from([1.0, EPOCH_S, 2.5 * EPOCH_S]))
-    def let_time_pass(self, seconds: float) -> None:
-        """Time passes at every node."""
+    def advance_time(self, seconds: float) -> None:
+        """Time advances on every node."""
         self.now_s += seconds
 
     def _handle(self, message: Message) -> None:
-        STEPS_TAKEN["deliveries"] += 1
-        book = self.books[message.node]
+        EVENT_COUNTS["deliveries"] += 1
+        table = self.tables[message.node]
         try:
-            binding = book.bind(message.key, BODY, self.now_s)
+            binding = table.bind(message.key, BODY, self.now_s)
         except RequestError as error:
             if error.ran is Ran.NO:
-                error.ran = book.refuse(message.key, self.now_s)
+                error.ran = table.refuse(message.key, self.now_s)
             self._answer(message, error)
             return
         match binding:
@@ -236,60 +243,60 @@
 
     def _answer(self, message: Message, error: RequestError) -> None:
         if error.ran is Ran.NO:
-            self.told_not_run.add(message.key)
+            self.reported_not_run.add(message.key)
         by_owner = message.node == message.key.node_id
         self._react(message.call, message.key, Answered(error, by_owner))
 
     def _react(self, call: ModelCall, key: RequestKey, outcome: SendOutcome) -> None:
-        """Do what the client library does; a late answer to an earlier key is dropped."""
-        if call.over or key != call.keys[-1]:
+        """Apply the client library's decision; a late answer to an earlier key is dropped."""
+        if call.ended or key != call.keys[-1]:
             return
         resend = decide_resend(
             outcome,
-            sent_before=call.doubled or len(call.asked) > 1,
+            sent_before=call.duplicated or len(call.tried_nodes) > 1,
             idempotent=False,
             answer_started=False,
         )
-        left = [node for node in NODES if node not in call.asked]
-        if isinstance(resend, AskElsewhere) and not left:
+        untried = [node for node in NODES if node not in call.tried_nodes]
+        if isinstance(resend, AskElsewhere) and not untried:
             resend = decide_without_nodes(idempotent=False, answer_started=False)
         match resend:
             case AskElsewhere():
-                call.asked.append(left[0])
-                self.network.append(Message(call, key, left[0]))
+                call.tried_nodes.append(untried[0])
+                self.network.append(Message(call, key, untried[0]))
             case NewKey():
                 self._send_new_key(call, NODES[len(call.keys) % len(NODES)])
             case _:
-                call.over = True
+                call.ended = True
 
     @invariant()
     def no_call_runs_twice(self) -> None:
-        """Over all keys of a call, one run at most."""
+        """Over all keys of a call there is at most one run."""
         for call in self.calls:
-            assert sum(self.ran[key] for key in call.keys) <= 1
+            assert sum(self.run_counts[key] for key in call.keys) <= 1
 
     @invariant()
-    def what_was_called_not_run_never_ran(self) -> None:
-        """Holds of every key, then and ever after."""
-        STEPS_TAKEN["refusals checked"] += len(self.told_not_run)
-        assert not [key for key in self.told_not_run if self.ran[key]]
+    def no_key_reported_as_not_run_ever_runs(self) -> None:
+        """A key reported as "not run" has not run and never does."""
+        EVENT_COUNTS["refusals checked"] += len(self.reported_not_run)
+        assert not [key for key in self.reported_not_run if self.run_counts[key]]
 
     @invariant()
-    def memory_stays_bounded(self) -> None:
-        """No book holds more keys than it may."""
-        assert all(len(book) <= MAX_KEYS for book in self.books.values())
+    def tables_stay_bounded(self) -> None:
+        """No table holds more than ``MAX_KEYS`` keys."""
+        assert all(len(table) <= MAX_KEYS for table in self.tables.values())
 
 
-def test_a_call_runs_at_most_once_whatever_happens(capsys: pytest.CaptureFixture[str]) -> None:
-    """Answers are lost, copies of a request arrive late or twice, nodes are replaced.
+def test_call_runs_at_most_once(capsys: pytest.CaptureFixture[str]) -> None:
+    """Answers are lost, copies of a request arrive late or twice, and nodes are replaced.
 
-    A caller who retries a quote that may not be repeated would get two quotes, or
-    would hold a refusal of a quote that was made after all.
+    A failure means that a retried non-idempotent request ran twice, or that a caller
+    was told "not run" about a request that ran.
     """
-    STEPS_TAKEN.clear()
+    EVENT_COUNTS.clear()
     run_state_machine_as_test(
-        AtMostOnce, settings=settings(max_examples=300, stateful_step_count=50)
+        AtMostOnceMachine, settings=settings(max_examples=300, stateful_step_count=50)
     )
     with capsys.disabled():
-        print(f"\n  at most once: {dict(STEPS_TAKEN)}")
-    assert STEPS_TAKEN["refusals checked"] > 0
+        print(f"\n  at most once: {dict(EVENT_COUNTS)}")
+    assert EVENT_COUNTS["refusals checked"] > 0
--- a/tests/requests/test_key_book.py
+++ b/tests/requests/test_key_book.py
@@ -1,4 +1,4 @@
-"""The key book and the answers that it keeps."""
+"""The request key table and the answers that it retains."""
 
 import asyncio
 from collections.abc import Sequence
@@ -23,7 +23,7 @@
 BODY = {"prompt": "a quote"}
 
 
-def make_book(max_keys: int = 100, max_bytes: int = 1_000_000) -> RequestKeyTable:
+def make_table(max_keys: int = 100, max_bytes: int = 1_000_000) -> RequestKeyTable:
     store = AnswerStore(max_bytes)
     return RequestKeyTable("n1", "aa", store, epoch_s=EPOCH_S, max_keys=max_keys, now_s=0.0)
 
@@ -32,14 +32,14 @@
     return RequestKey("n1", "aa", epoch, unique)
 
 
-def start(book: RequestKeyTable, a_key: RequestKey, now_s: float = 0.0) -> AnswerLog:
-    binding = book.bind(a_key, BODY, now_s)
+def start(table: RequestKeyTable, request_key: RequestKey, now_s: float = 0.0) -> AnswerLog:
+    binding = table.bind(request_key, BODY, now_s)
     assert isinstance(binding, StartHere)
     return binding.answer
 
 
-async def read_all(answer: AnswerLog, give_up_at_s: float | None = None) -> Sequence[AnswerLine]:
-    return [line async for line in answer.read(give_up_at_s)]
+async def read_all(answer: AnswerLog, deadline_at_s: float | None = None) -> Sequence[AnswerLine]:
+    return [line async for line in answer.read(deadline_at_s)]
 
 
 @pytest.mark.parametrize(
@@ -49,99 +49,98 @@
         (3, 0.0, ErrorKind.KEY_MALFORMED, Ran.UNKNOWN),
     ],
 )
-def test_only_keys_of_the_present_and_previous_epoch_start(
+def test_only_keys_of_the_current_and_previous_epoch_start(
     epoch: int, now_s: float, kind: ErrorKind, ran: Ran
 ) -> None:
     with pytest.raises(RequestError) as caught:
-        make_book().bind(key(epoch=epoch), BODY, now_s)
+        make_table().bind(key(epoch=epoch), BODY, now_s)
     assert (caught.value.kind, caught.value.ran) == (kind, ran)
 
 
-def test_a_running_key_is_joined_long_after_its_epoch() -> None:
-    """A run outlives the epochs in which its key could start.
+def test_running_request_is_joined_after_its_key_expired() -> None:
+    """A run outlasts the epochs in which its key could start it.
 
-    A caller who asks again with the key must get that run's answer, not a word
-    that it is too old to say.
+    A retry with that key must get the answer of the run and not KEY_EXPIRED.
     """
-    book = make_book()
-    answer = start(book, key())
-    binding = book.bind(key(), BODY, 10 * EPOCH_S)
+    table = make_table()
+    answer = start(table, key())
+    binding = table.bind(key(), BODY, 10 * EPOCH_S)
     assert isinstance(binding, JoinHere)
     assert binding.answer is answer
 
 
-def test_an_ended_key_is_kept_an_epoch_longer_than_it_may_start() -> None:
-    book = make_book()
-    start(book, key()).close()
-    assert isinstance(book.bind(key(), BODY, 2.5 * EPOCH_S), JoinHere)
+def test_key_of_an_ended_request_is_kept_one_epoch_longer_than_it_may_start() -> None:
+    table = make_table()
+    start(table, key()).close()
+    assert isinstance(table.bind(key(), BODY, 2.5 * EPOCH_S), JoinHere)
     with pytest.raises(RequestError, match="too old"):
-        book.bind(key(), BODY, 3 * EPOCH_S)
-    assert len(book) == 0
+        table.bind(key(), BODY, 3 * EPOCH_S)
+    assert len(table) == 0
 
 
-def test_a_key_with_another_body_is_refused_without_a_word_on_its_run() -> None:
-    book = make_book()
-    start(book, key())
+def test_key_with_a_different_body_is_refused_as_unknown_whether_run() -> None:
+    table = make_table()
+    start(table, key())
     with pytest.raises(RequestError) as caught:
-        book.bind(key(), {"prompt": "another quote"}, 0.0)
+        table.bind(key(), {"prompt": "another quote"}, 0.0)
     assert (caught.value.kind, caught.value.ran) == (ErrorKind.KEY_CONFLICT, Ran.UNKNOWN)
 
 
-def test_a_refused_key_never_starts_however_late_its_copy_comes() -> None:
-    """A full table refuses a request as not run while a copy of it is on its way.
+def test_refused_key_never_starts() -> None:
+    """A full table refuses a request as not run while a copy of it is in transit.
 
-    When the copy arrives there is room again. If it ran, the caller would hold a
-    refusal of a request that ran.
+    The copy arrives when there is room again. If it ran, the caller would have been
+    told "not run" about a request that ran.
     """
-    book = make_book(max_keys=1)
-    answer = start(book, key("first"))
+    table = make_table(max_keys=1)
+    answer = start(table, key("first"))
     with pytest.raises(RequestError):
-        book.bind(key("second"), BODY, 0.0)
-    assert book.refuse(key("second"), 0.0) is Ran.NO
+        table.bind(key("second"), BODY, 0.0)
+    assert table.refuse(key("second"), 0.0) is Ran.NO
     answer.close()
     with pytest.raises(RequestError) as caught:
-        book.bind(key("second"), BODY, EPOCH_S)
+        table.bind(key("second"), BODY, EPOCH_S)
     assert (caught.value.kind, caught.value.ran) == (ErrorKind.KEY_CONFLICT, Ran.NO)
 
 
-def test_a_full_table_refuses_new_keys_and_keeps_the_old() -> None:
-    """More keys come within two epochs than the table may hold.
+def test_full_table_refuses_new_keys_and_keeps_the_old_ones() -> None:
+    """More keys arrive within two epochs than the table may hold.
 
-    If an old one gave way, a copy of it would run a second time.
+    If an old key were evicted, a copy of its request would run a second time.
     """
-    book = make_book(max_keys=2)
+    table = make_table(max_keys=2)
     for unique in ("first", "second"):
-        start(book, key(unique)).close()
+        start(table, key(unique)).close()
     with pytest.raises(RequestError) as caught:
-        book.bind(key("third"), BODY, 0.0)
+        table.bind(key("third"), BODY, 0.0)
     assert (caught.value.kind, caught.value.ran) == (ErrorKind.KEY_TABLE_FULL, Ran.NO)
     assert caught.value.retry_after_s > 0.0
-    assert isinstance(book.bind(key("first"), BODY, 0.0), JoinHere)
+    assert isinstance(table.bind(key("first"), BODY, 0.0), JoinHere)
 
 
-def test_a_started_key_is_never_called_not_run() -> None:
-    """A caller asks again for a request that ran, with a header that is refused."""
-    book = make_book()
-    start(book, key()).close()
-    assert book.refuse(key(), 0.0) is Ran.UNKNOWN
-    assert book.refuse(RequestKey("n2", "bb", 0, "k"), 0.0) is Ran.UNKNOWN
+def test_started_key_is_never_reported_as_not_run() -> None:
+    """A request that ran is sent again with an invalid header, which is refused."""
+    table = make_table()
+    start(table, key()).close()
+    assert table.refuse(key(), 0.0) is Ran.UNKNOWN
+    assert table.refuse(RequestKey("n2", "bb", 0, "k"), 0.0) is Ran.UNKNOWN
 
 
-def test_answers_are_discarded_by_bytes_and_their_keys_stay() -> None:
+def test_answers_above_the_byte_limit_are_discarded_and_their_keys_kept() -> None:
     """Many large answers end within the time for which their keys are kept.
 
-    Without a bound in bytes the node would run out of memory; without the key it
-    would run a request again that is asked for again.
+    Without a limit in bytes the node would run out of memory. Without the keys it
+    would run retried requests a second time.
     """
 
     async def scenario() -> None:
-        book = make_book(max_bytes=10_000)
+        table = make_table(max_bytes=10_000)
         for number in range(5):
-            answer = start(book, key(str(number)))
+            answer = start(table, key(str(number)))
             answer.add({"text": "x" * 3_000, "end": "stop"})
             answer.close()
-        first = book.bind(key("0"), BODY, 0.0)
-        last = book.bind(key("4"), BODY, 0.0)
+        first = table.bind(key("0"), BODY, 0.0)
+        last = table.bind(key("4"), BODY, 0.0)
         assert isinstance(first, JoinHere)
         assert isinstance(last, JoinHere)
         assert len(await read_all(last.answer)) == 1
@@ -152,17 +151,17 @@
     asyncio.run(scenario())
 
 
-def test_running_answers_are_never_discarded_and_nothing_new_starts_beside_them() -> None:
-    book = make_book(max_bytes=1_000)
-    answer = start(book, key("running"))
+def test_open_answers_are_never_discarded_and_block_new_requests_above_the_limit() -> None:
+    table = make_table(max_bytes=1_000)
+    answer = start(table, key("running"))
     answer.add({"text": "x" * 2_000})
     with pytest.raises(RequestError) as caught:
-        book.bind(key("next"), BODY, 0.0)
+        table.bind(key("next"), BODY, 0.0)
     assert (caught.value.kind, caught.value.ran) == (ErrorKind.KEY_TABLE_FULL, Ran.NO)
     assert answer.size_bytes > 2_000
 
 
-def test_a_slow_reader_and_a_late_joiner_get_the_same_answer() -> None:
+def test_slow_reader_and_late_reader_get_the_same_answer() -> None:
     async def scenario() -> None:
         answer = AnswerStore(1_000_000).create_log()
         reader = answer.read()
@@ -180,7 +179,7 @@
     asyncio.run(scenario())
 
 
-def test_a_reader_gives_up_at_its_own_deadline_and_the_run_goes_on() -> None:
+def test_reader_deadline_does_not_affect_the_run() -> None:
     async def scenario() -> None:
         answer = AnswerStore(1_000_000).create_log()
         with pytest.raises(RequestError) as caught:
@@ -193,7 +192,7 @@
     asyncio.run(scenario())
 
 
-def test_the_store_counts_nothing_once_all_is_forgotten() -> None:
+def test_store_size_is_zero_after_all_answers_are_released() -> None:
     store = AnswerStore(100_000)
     logs = [store.create_log() for _ in range(3)]
     for log in logs:
@@ -202,17 +201,17 @@
         log.close()
     for log in logs:
         store.release(log)
-    assert store.held_bytes == 0
+    assert store.total_bytes == 0
 
 
-def test_refused_keys_are_always_found_again() -> None:
+def test_refused_keys_have_no_false_negatives_and_few_false_positives() -> None:
     refused = RefusedKeys()
     added = [f"n1.aa.0.{number}" for number in range(20_000)]
     for text in added:
         refused.add(text)
     assert all(text in refused for text in added)
-    mistaken = sum(f"n1.aa.0.other{number}" in refused for number in range(20_000))
-    assert mistaken < 60
+    false_positives = sum(f"n1.aa.0.other{number}" in refused for number in range(20_000))
+    assert false_positives < 60
 
 
 @pytest.mark.parametrize(
--- a/tests/requests/test_progress.py
+++ b/tests/requests/test_progress.py
@@ -1,4 +1,4 @@
-"""A silent connection told from a slow one."""
+"""Detection of silent connections."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("probe", "received", "quiet_periods", "verdict"),
+    ("probe", "received", "quiet_periods", "expected"),
     [
         (Unreachable(), 0, 1, Silent),
         (RequestStatus(RunState.WAITING, 0), 0, 50, Slow),
@@ -36,25 +36,25 @@
         (StatusUnavailable(queued=True), 0, 8, Silent),
     ],
 )
-def test_the_verdict_on_a_quiet_connection(
-    probe: ProbeResult, received: int | None, quiet_periods: int, verdict: type
+def test_quiet_connection_is_classified_by_probe_result(
+    probe: ProbeResult, received: int | None, quiet_periods: int, expected: type
 ) -> None:
     assert isinstance(
-        classify_silence(probe, received, quiet_periods, max_quiet_periods=2), verdict
+        classify_silence(probe, received, quiet_periods, max_quiet_periods=2), expected
     )
 
 
-def test_without_a_bound_a_side_that_lives_is_waited_for() -> None:
+def test_without_a_limit_a_responsive_side_is_always_waited_for() -> None:
     assert isinstance(
         classify_silence(StatusUnavailable(), None, 1_000, max_quiet_periods=None), Slow
     )
 
 
-def test_a_slow_step_is_waited_for_and_a_silent_one_given_up() -> None:
-    """A connection brings nothing: once since the answer is slow, once since it is dead.
+def test_slow_wait_continues_and_silent_wait_fails() -> None:
+    """A connection delivers nothing, first because the answer is slow, then because it is dead.
 
-    Given up too early, a slow answer would be lost; never given up, the caller of
-    a dead one would wait to its deadline.
+    If the wait failed too early, a slow answer would be lost. If it never failed, the
+    caller on a dead connection would wait until its deadline.
     """
     probes: list[ProbeResult] = [RequestStatus(RunState.WAITING, 0)] * 3
 
@@ -64,35 +64,35 @@
         return probes.pop(0) if probes else RequestStatus(RunState.ENDED, 1)
 
     async def scenario() -> None:
-        watch = SilenceDetector(answer_probe, period_s=0.01, counts_progress=True)
-        async with watch:
-            await watch.wait(ready.wait())
+        detector = SilenceDetector(answer_probe, period_s=0.01, counts_progress=True)
+        async with detector:
+            await detector.wait(ready.wait())
             with pytest.raises(SilentConnectionError):
-                await watch.wait(asyncio.Event().wait())
+                await detector.wait(asyncio.Event().wait())
         assert not probes
 
     ready = asyncio.Event()
     asyncio.run(scenario())
 
 
-def test_a_wait_that_is_cancelled_by_another_ends_as_cancelled() -> None:
-    """The deadline passes, or the caller goes away, while a connection is quiet."""
+def test_wait_cancelled_from_outside_ends_as_cancelled() -> None:
+    """The deadline passes or the caller disconnects while a connection is quiet."""
 
     async def answer_probe() -> ProbeResult:
         return Unreachable()
 
     async def scenario() -> None:
-        watch = SilenceDetector(answer_probe, period_s=5.0, counts_progress=True)
-        async with watch:
+        detector = SilenceDetector(answer_probe, period_s=5.0, counts_progress=True)
+        async with detector:
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(0.02):
-                    await watch.wait(asyncio.Event().wait())
+                    await detector.wait(asyncio.Event().wait())
 
     asyncio.run(scenario())
 
 
-def test_time_that_the_reader_takes_is_not_the_connections() -> None:
-    """A caller reads slowly between two lines that have come in time."""
+def test_time_between_waits_does_not_count_as_quiet() -> None:
+    """A caller reads slowly, while each line arrives in time."""
     probes: list[ProbeResult] = []
 
     async def answer_probe() -> ProbeResult:
@@ -100,10 +100,10 @@
         return Unreachable()
 
     async def scenario() -> None:
-        watch = SilenceDetector(answer_probe, period_s=0.01, counts_progress=True)
-        async with watch:
+        detector = SilenceDetector(answer_probe, period_s=0.01, counts_progress=True)
+        async with detector:
             for _ in range(3):
-                await watch.wait(asyncio.sleep(0))
+                await detector.wait(asyncio.sleep(0))
                 await asyncio.sleep(0.05)
 
     asyncio.run(scenario())
