--- a/samphirecleat/bench/_stragglers.py
+++ b/samphirecleat/bench/_stragglers.py
@@ -16,7 +16,7 @@
 from ..client import StepRequest, TrainerClient
 from ..controllers.policies import Policies
 from ..standins import StandInEngine
-from ..steps import CopyAllLate, CopyPolicy, CopySlow, NoCopies
+from ..steps import CopyAllRemaining, CopyPolicy, CopyStragglers, NoCopies
 from ..trial import DEPLOYMENTS, Fleet, until_ready
 from ._harness import BenchResult, run_repeats
 
@@ -43,9 +43,9 @@
 
 
 VARIANTS: Final[Sequence[Variant]] = (
-    Variant("copies by pace", CopySlow(budget_ratio=0.1)),
+    Variant("copies by pace", CopyStragglers(budget_ratio=0.1)),
     Variant("no copies", NoCopies()),
-    Variant("copy all late", CopyAllLate()),
+    Variant("copy all late", CopyAllRemaining()),
 )
 
 
--- a/samphirecleat/client/_trainer.py
+++ b/samphirecleat/client/_trainer.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from ..errors import ErrorKind, RequestError
-from ..steps import PullReply, Sample, TrainerRecord, encode_positions, reply_from_json
+from ..steps import DeliveryRecord, PullReply, Sample, encode_positions, reply_from_json
 from ._entries import Entry, EntryList
 
 PULL_WAIT_S: Final = 2.0
@@ -89,12 +89,12 @@
 
         :raises samphirecleat.errors.RequestError: when the step itself is wrong.
         """
-        record = TrainerRecord(
+        record = DeliveryRecord(
             secrets.token_hex(6), request.size, request.staleness_bound, frozenset(held)
         )
         failed: list[str] = []
         node: Entry | None = None
-        while not record.whole:
+        while not record.complete:
             node = node or await self._submit(request, record, failed)
             reply = await self._pull(node, request, record)
             if reply is not None:
@@ -122,7 +122,7 @@
                 yield Group(number, sorted(samples, key=lambda s: s.position))
 
     async def _submit(
-        self, request: StepRequest, record: TrainerRecord, failed: list[str]
+        self, request: StepRequest, record: DeliveryRecord, failed: list[str]
     ) -> Entry:
         """Return the node that took the step, trying until one does.
 
@@ -155,7 +155,7 @@
         self,
         node: Entry,
         request: StepRequest,
-        record: TrainerRecord,
+        record: DeliveryRecord,
         wait_s: float = PULL_WAIT_S,
     ) -> PullReply | None:
         """Return the reply to one pull, or None when the node can not be asked."""
@@ -191,7 +191,7 @@
         return 0.5 + self._rng.random()
 
 
-def _submission(request: StepRequest, record: TrainerRecord, version: int) -> Mapping[str, Any]:
+def _submission(request: StepRequest, record: DeliveryRecord, version: int) -> Mapping[str, Any]:
     return {
         "service": request.service,
         "prompts": list(request.prompts),
--- a/samphirecleat/controllers/steps/_sample_maker.py
+++ b/samphirecleat/controllers/steps/_sample_maker.py
@@ -31,7 +31,7 @@
     def add(self, line: AnswerLine) -> None:
         self._run.target = self.target
         for span in line.get("spans", ()):
-            self._run.note_span(span, asyncio.get_running_loop().time())
+            self._run.record_span(span, asyncio.get_running_loop().time())
             self._on_span(self._run, span)
         super().add(line)
 
--- a/samphirecleat/controllers/steps/_step_registry.py
+++ b/samphirecleat/controllers/steps/_step_registry.py
@@ -61,7 +61,7 @@
             raise RequestError(
                 ErrorKind.STEP_CONFLICT, f'step "{spec.step_id}" was submitted with other contents'
             )
-        step.take_held(client_id, held, now_s)
+        step.update_held(client_id, held, now_s)
         self.outlook.note_version(spec.trainer, version)
         self._stats.setdefault(spec.trainer, TrainerStats(now_s))
         self.work.set()
@@ -100,7 +100,7 @@
         stats = self._stats.setdefault(trainer, TrainerStats(started_at_s))
         waited_s = loop.time() - started_at_s
         stats.idle_s += waited_s
-        stats.note_delivered(reply.samples, pull.version)
+        stats.record_delivery(reply.samples, pull.version)
         self._observer.record_s("trainer_wait", waited_s)
         return reply
 
--- a/samphirecleat/controllers/steps/_step_runner.py
+++ b/samphirecleat/controllers/steps/_step_runner.py
@@ -14,10 +14,10 @@
 from ...steps import (
     DEFAULT_COPY_POLICY,
     CopyPolicy,
-    PaceBook,
-    Placement,
+    FairShareScheduler,
+    PaceEstimator,
     Run,
-    ShareBook,
+    SlotAvailability,
     Step,
     find_free_slots,
 )
@@ -54,8 +54,8 @@
         self._maker = SampleMaker(board, dispatcher, rng)
         self._streamed = StreamedVersions(board)
         self._tasks: dict[Run, asyncio.Task[None]] = {}
-        self._shares: defaultdict[str, ShareBook] = defaultdict(ShareBook)
-        self._paces: defaultdict[str, PaceBook] = defaultdict(PaceBook)
+        self._shares: defaultdict[str, FairShareScheduler] = defaultdict(FairShareScheduler)
+        self._paces: defaultdict[str, PaceEstimator] = defaultdict(PaceEstimator)
         self._resume_at_s: defaultdict[str, float] = defaultdict(float)
 
     @property
@@ -106,18 +106,18 @@
 
     def _start_runs(self, service: str, steps: Sequence[Step], now_s: float) -> None:
         targets = self._board.targets_of(service)
-        placement = find_free_slots(targets, self._board.in_flight)
-        room = min(self._limiter.trainer_room(service), placement.free_slots)
+        availability = find_free_slots(targets, self._board.in_flight)
+        room = min(self._limiter.trainer_room(service), availability.free_slots)
         usable = frozenset(target.address for target in targets if target.usable)
-        room = self._start_copies(service, steps, usable, placement, room, now_s)
-        self._start_first_runs(service, steps, usable, placement, room, now_s)
+        room = self._start_copies(service, steps, usable, availability, room, now_s)
+        self._start_first_runs(service, steps, usable, availability, room, now_s)
 
     def _start_copies(
         self,
         service: str,
         steps: Sequence[Step],
         usable: frozenset[str],
-        placement: Placement,
+        availability: SlotAvailability,
         room: int,
         now_s: float,
     ) -> int:
@@ -128,10 +128,10 @@
         """
         pace = self._paces[service].pace
         for step in steps:
-            for late in step.copies_wanted(self._copy_policy, pace, room, now_s):
-                excluded = self._excluded(step, placement, now_s) | {late.target}
+            for late in step.select_runs_to_copy(self._copy_policy, pace, room, now_s):
+                excluded = self._excluded(step, availability, now_s) | {late.target}
                 if usable - excluded:
-                    run = step.note_copied(late, pace, now_s)
+                    run = step.record_copy(late, pace, now_s)
                     self._start(step, run, excluded)
                     room -= 1
         return room
@@ -141,29 +141,29 @@
         service: str,
         steps: Sequence[Step],
         usable: frozenset[str],
-        placement: Placement,
+        availability: SlotAvailability,
         room: int,
         now_s: float,
     ) -> None:
         """Start runs, the trainers in turn by their shares."""
-        excluded = {id(step): self._excluded(step, placement, now_s) for step in steps}
+        excluded = {id(step): self._excluded(step, availability, now_s) for step in steps}
         book = self._shares[service]
         # A step without a target that is new enough waits, and holds up no other.
         waiting = _by_trainer([step for step in steps if usable - excluded[id(step)]])
         while room > 0 and waiting:
             trainer = book.next_trainer(waiting)
-            step = next((s for s in waiting[trainer] if s.next_start(now_s) is not None), None)
+            step = next((s for s in waiting[trainer] if s.next_position(now_s) is not None), None)
             if step is None:
                 del waiting[trainer]
                 continue
-            position = step.next_start(now_s)
+            position = step.next_position(now_s)
             assert position is not None
-            self._start(step, step.note_started(position, now_s), excluded[id(step)])
+            self._start(step, step.record_start(position, now_s), excluded[id(step)])
             room -= 1
-        book.rest({step.spec.trainer for step in steps})
+        book.retain({step.spec.trainer for step in steps})
 
-    def _excluded(self, step: Step, placement: Placement, now_s: float) -> frozenset[str]:
-        return self._registry.outlook.stale_targets(step, now_s) | placement.full
+    def _excluded(self, step: Step, availability: SlotAvailability, now_s: float) -> frozenset[str]:
+        return self._registry.outlook.stale_targets(step, now_s) | availability.full_targets
 
     def _start(self, step: Step, run: Run, excluded: frozenset[str]) -> None:
         spec = step.spec
@@ -179,12 +179,12 @@
             sample = await self._maker.make(step.spec, run, excluded, self._note_span)
         except RequestError as error:
             self._observer.counters[f"samples_failed_{error.kind.value}"] += 1
-            step.note_failed(run, loop.time(), self._rng.random())
+            step.record_failure(run, loop.time(), self._rng.random())
             self._back_off(step.spec.service, error, loop.time())
         else:
-            self._paces[step.spec.service].note(run)
+            self._paces[step.spec.service].record_run(run)
             self._observer.record_s("sample", loop.time() - run.started_at_s)
-            for other in step.note_made(run, sample):
+            for other in step.record_sample(run, sample):
                 self._cancel(step, other)
         finally:
             self._registry.work.set()
@@ -200,13 +200,13 @@
 
     def _cancel_useless(self, step: Step, now_s: float) -> None:
         coming = self._registry.outlook.coming_version(step, now_s)
-        for run in step.expect_version(coming):
+        for run in step.set_expected_version(coming):
             self._observer.counters["runs_cancelled_stale"] += 1
             self._cancel(step, run)
 
     def _cancel(self, step: Step, run: Run) -> None:
         # Booked here and not in the task: a task that never began sees no cancellation.
-        step.note_cancelled(run)
+        step.record_cancellation(run)
         task = self._tasks.get(run)
         if task is not None:
             task.cancel()
--- a/samphirecleat/controllers/weights/_version_outlook.py
+++ b/samphirecleat/controllers/weights/_version_outlook.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection
 
 from ...blackboard import Blackboard
-from ...steps import NO_VERSION, Step, TrainerPace, coming_version, stale_targets
+from ...steps import NO_VERSION, Step, TrainerProgress, find_stale_targets, predict_version
 from ._streamed_versions import true_version
 
 
@@ -14,20 +14,20 @@
     def __init__(self, board: Blackboard) -> None:
         """Read targets and weights from the blackboard."""
         self._board = board
-        self._paces: dict[str, TrainerPace] = {}
+        self._paces: dict[str, TrainerProgress] = {}
         self._pulls: Counter[str] = Counter()
 
     def note_version(self, trainer: str, version: int) -> None:
         """Record a version that a trainer named."""
-        pace = self._paces.get(trainer, TrainerPace())
+        pace = self._paces.get(trainer, TrainerProgress())
         self._paces[trainer] = pace._replace(version=max(pace.version, version))
 
     def note_pull(self, step: Step, version: int) -> None:
         """Record the version that a pull of a step names, before it is answered."""
         trainer = step.spec.trainer
-        pace = self._paces.get(trainer, TrainerPace())
+        pace = self._paces.get(trainer, TrainerProgress())
         if step.pulled and not step.done and NO_VERSION < pace.version < version:
-            self._paces[trainer] = pace._replace(moves_within_steps=True)
+            self._paces[trainer] = pace._replace(advances_within_steps=True)
         self.note_version(trainer, version)
 
     def begin_pull(self, trainer: str) -> None:
@@ -41,9 +41,9 @@
     def coming_version(self, step: Step, now_s: float) -> int:
         """Return the version that the step's trainer is expected to pull with next."""
         trainer = step.spec.trainer
-        pace = self._paces.get(trainer, TrainerPace())
+        pace = self._paces.get(trainer, TrainerProgress())
         pace = pace._replace(pulling=self._pulls[trainer] > 0)
-        return coming_version(pace, self._newest_version(step.spec.service, now_s))
+        return predict_version(pace, self._newest_version(step.spec.service, now_s))
 
     def stale_targets(self, step: Step, now_s: float) -> frozenset[str]:
         """Return the targets whose weights are too old for runs of a step."""
@@ -51,7 +51,9 @@
             target._replace(version=true_version(self._board, target, now_s))
             for target in self._board.targets_of(step.spec.service)
         ]
-        return stale_targets(targets, self.coming_version(step, now_s), step.spec.staleness_bound)
+        return find_stale_targets(
+            targets, self.coming_version(step, now_s), step.spec.staleness_bound
+        )
 
     def forget_others(self, trainers: Collection[str]) -> None:
         """Forget all but these trainers, so that memory is bounded."""
--- a/samphirecleat/steps/__init__.py
+++ b/samphirecleat/steps/__init__.py
@@ -2,23 +2,23 @@
 
 from ._copies import (
     DEFAULT_COPY_POLICY,
-    CopyAllLate,
+    CopyAllRemaining,
     CopyPolicy,
-    CopySlow,
+    CopyStragglers,
     CopyView,
     NoCopies,
     Pace,
-    PaceBook,
+    PaceEstimator,
     decide_copies,
     expected_waste_tokens,
     remaining_s,
 )
-from ._freshness import TrainerPace, coming_version, stale_targets
-from ._placement import Placement, find_free_slots
+from ._freshness import TrainerProgress, find_stale_targets, predict_version
+from ._placement import SlotAvailability, find_free_slots
 from ._positions import PositionQueue
-from ._record import TrainerRecord
+from ._record import DeliveryRecord
 from ._run import Run
-from ._shares import ShareBook
+from ._shares import FairShareScheduler
 from ._stats import TrainerStats
 from ._step import Step
 from ._types import (
@@ -37,38 +37,38 @@
 )
 
 __all__ = [
-    "DEFAULT_COPY_POLICY",
-    "NO_VERSION",
-    "CopyAllLate",
+    "CopyAllRemaining",
     "CopyPolicy",
-    "CopySlow",
+    "CopyStragglers",
     "CopyView",
+    "DEFAULT_COPY_POLICY",
+    "DeliveryRecord",
+    "FairShareScheduler",
+    "NO_VERSION",
     "NoCopies",
     "Pace",
-    "PaceBook",
-    "Placement",
+    "PaceEstimator",
     "PositionQueue",
     "Pull",
     "PullReply",
     "Run",
     "Sample",
-    "ShareBook",
+    "SlotAvailability",
     "Step",
     "StepSpec",
-    "TrainerPace",
-    "TrainerRecord",
+    "TrainerProgress",
     "TrainerStats",
-    "coming_version",
     "decide_copies",
     "decode_positions",
     "encode_positions",
     "expected_waste_tokens",
     "find_free_slots",
+    "find_stale_targets",
     "is_fresh",
+    "predict_version",
     "remaining_s",
     "reply_from_json",
     "reply_to_json",
     "sample_from_json",
     "sample_to_json",
-    "stale_targets",
 ]
--- a/samphirecleat/steps/_copies.py
+++ b/samphirecleat/steps/_copies.py
@@ -30,7 +30,7 @@
         return self.first_token_s + self.token_s * tokens
 
 
-class PaceBook:
+class PaceEstimator:
     """The paces of the latest runs of a service; the median is their pace."""
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         self._token_s: deque[float] = deque(maxlen=PACES_KEPT)
         self._pace: Pace | None = None
 
-    def note(self, run: Run) -> None:
+    def record_run(self, run: Run) -> None:
         """Record a run whose text is whole."""
         if run.tokens == 0 or not run.scoring:
             return
@@ -63,12 +63,12 @@
 
 
 @dataclass(frozen=True)
-class CopyAllLate:
+class CopyAllRemaining:
     """Copy every run that is left once the rest of its step is done."""
 
 
 @dataclass(frozen=True)
-class CopySlow:
+class CopyStragglers:
     """Copy those runs that lag behind the usual pace, within a budget.
 
     A copy starts as late as it may without holding the step up: once the rest of
@@ -80,8 +80,8 @@
     budget_ratio: float
 
 
-CopyPolicy = NoCopies | CopyAllLate | CopySlow
-DEFAULT_COPY_POLICY: Final = CopySlow(budget_ratio=0.1)
+CopyPolicy = NoCopies | CopyAllRemaining | CopyStragglers
+DEFAULT_COPY_POLICY: Final = CopyStragglers(budget_ratio=0.1)
 
 
 class CopyView(NamedTuple):
@@ -105,9 +105,9 @@
     match policy:
         case NoCopies():
             return ()
-        case CopyAllLate():
+        case CopyAllRemaining():
             return alone[:room] if not view.queued_tokens else ()
-        case CopySlow(budget_ratio=budget_ratio):
+        case CopyStragglers(budget_ratio=budget_ratio):
             if view.pace is None:
                 return ()
             pace = view.pace
--- a/samphirecleat/steps/_freshness.py
+++ b/samphirecleat/steps/_freshness.py
@@ -7,7 +7,7 @@
 from ._types import NO_VERSION
 
 
-class TrainerPace(NamedTuple):
+class TrainerProgress(NamedTuple):
     """What one node knows of a trainer's progress.
 
     ``version`` is what its latest pull or submission named. ``pulling`` holds
@@ -18,10 +18,10 @@
 
     version: int = NO_VERSION
     pulling: bool = False
-    moves_within_steps: bool = False
+    advances_within_steps: bool = False
 
 
-def coming_version(pace: TrainerPace, newest_version: int) -> int:
+def predict_version(pace: TrainerProgress, newest_version: int) -> int:
     """Return the version that the trainer is expected to be at when it pulls next.
 
     ``newest_version`` is the newest that the service's weights are known to
@@ -32,12 +32,12 @@
     """
     if pace.version == NO_VERSION:
         return newest_version
-    if pace.pulling and not pace.moves_within_steps:
+    if pace.pulling and not pace.advances_within_steps:
         return pace.version
     return max(pace.version, min(newest_version, pace.version + 1))
 
 
-def stale_targets(
+def find_stale_targets(
     targets: Sequence[TargetView], coming: int, staleness_bound: int
 ) -> frozenset[str]:
     """Return the addresses whose weights are too old to start a run on.
--- a/samphirecleat/steps/_placement.py
+++ b/samphirecleat/steps/_placement.py
@@ -6,18 +6,20 @@
 from ..blackboard import TargetView
 
 
-class Placement(NamedTuple):
+class SlotAvailability(NamedTuple):
     """Where runs may be started now.
 
-    ``full`` are addresses of targets that have no free slot as far as this node
+    ``full_targets`` are addresses of targets that have no free slot as far as this node
     knows; ``free_slots`` are those of all the others.
     """
 
-    full: frozenset[str]
+    full_targets: frozenset[str]
     free_slots: int
 
 
-def find_free_slots(targets: Sequence[TargetView], in_flight: Mapping[str, int]) -> Placement:
+def find_free_slots(
+    targets: Sequence[TargetView], in_flight: Mapping[str, int]
+) -> SlotAvailability:
     """Return what is free on the usable targets of a service.
 
     A run sent to a full target waits in a queue of that target, where it can be
@@ -33,4 +35,4 @@
             full.add(target.address)
         elif target.usable:
             free_slots += free
-    return Placement(frozenset(full), free_slots)
+    return SlotAvailability(frozenset(full), free_slots)
--- a/samphirecleat/steps/_record.py
+++ b/samphirecleat/steps/_record.py
@@ -8,7 +8,7 @@
 NO_PULL: Final = 0
 
 
-class TrainerRecord:
+class DeliveryRecord:
     """What a trainer holds of a step, and the pull that it waits for.
 
     Each position is delivered once, whichever nodes work on the step and
@@ -28,7 +28,7 @@
         self._version = 0
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether every sample of the step is held."""
         return len(self.held) == self.size
 
--- a/samphirecleat/steps/_run.py
+++ b/samphirecleat/steps/_run.py
@@ -32,7 +32,7 @@
         """Whether its text is whole and it waits for its score."""
         return self.generated_at_s != NO_TIME_S
 
-    def note_span(self, span: Span, now_s: float) -> None:
+    def record_span(self, span: Span, now_s: float) -> None:
         """Record tokens as they come."""
         if self.first_token_at_s == NO_TIME_S:
             self.first_token_at_s = now_s
--- a/samphirecleat/steps/_shares.py
+++ b/samphirecleat/steps/_shares.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Mapping
 
 
-class ShareBook:
+class FairShareScheduler:
     """Weighted fair queueing: the trainer that had least for its share is next.
 
     What a trainer had is counted in expected tokens over its share. One that
@@ -28,7 +28,7 @@
         """Record that a run was started; a trainer without a share counts as 1."""
         self._served[trainer] = self._served.get(trainer, 0.0) + tokens / shares.get(trainer, 1.0)
 
-    def rest(self, active: Collection[str]) -> None:
+    def retain(self, active: Collection[str]) -> None:
         """Forget the trainers that have no step any more, so that memory is bounded."""
         self._active &= frozenset(active)
         self._served = {t: served for t, served in self._served.items() if t in active}
--- a/samphirecleat/steps/_stats.py
+++ b/samphirecleat/steps/_stats.py
@@ -21,7 +21,7 @@
     delivered: int = 0
     staleness: Counter[int] = field(default_factory=Counter)
 
-    def note_delivered(self, samples: Sequence[Sample], version: int) -> None:
+    def record_delivery(self, samples: Sequence[Sample], version: int) -> None:
         """Record the samples of a reply to a pull that names ``version``."""
         self.delivered += len(samples)
         self.staleness.update(max(0, version - s.oldest_version) for s in samples)
--- a/samphirecleat/steps/_step.py
+++ b/samphirecleat/steps/_step.py
@@ -27,7 +27,7 @@
         self.ready: dict[int, Sample] = {}
         self.runs: list[Run] = []
         self.client_id = client_id
-        self.coming_version = NO_VERSION
+        self.expected_version = NO_VERSION
         self.discarded_stale = 0
         self.wasted_tokens = 0
         self.copy_waste_tokens = 0.0
@@ -53,7 +53,7 @@
         """How many positions the trainer lacks that are not ready either."""
         return self.spec.size - len(self.held) - len(self.ready)
 
-    def take_held(self, client_id: str, held: frozenset[int], now_s: float) -> None:
+    def update_held(self, client_id: str, held: frozenset[int], now_s: float) -> None:
         """Learn what the trainer holds.
 
         What one record of the trainer holds only grows, so an older message can
@@ -81,7 +81,7 @@
         content; one that was overtaken by a later one gets nothing.
         """
         self.pulled = True
-        self.take_held(pull.client_id, pull.held, now_s)
+        self.update_held(pull.client_id, pull.held, now_s)
         if pull.number < self._last_number:
             return self._reply(pull, ())
         if pull.number > self._last_number:
@@ -92,7 +92,7 @@
         self._last_samples.update((sample.position, sample) for sample in samples)
         return self._reply(pull, samples)
 
-    def expect_version(self, coming_version: int) -> Sequence[Run]:
+    def set_expected_version(self, expected_version: int) -> Sequence[Run]:
         """Take the version that the trainer is expected to pull with next.
 
         Ready samples past the bound by then are made again, but kept meanwhile:
@@ -100,18 +100,18 @@
         oldest tokens are past the bound already, or the trainer holds their
         position from elsewhere.
         """
-        if coming_version > self.coming_version:
-            self.coming_version = coming_version
+        if expected_version > self.expected_version:
+            self.expected_version = expected_version
             for position, sample in self.ready.items():
                 if not self._will_be_fresh(sample) and not self._has_run(position):
                     self._queue.add(position)
         return [run for run in self.runs if self._is_useless(run)]
 
-    def next_start(self, now_s: float) -> int | None:
+    def next_position(self, now_s: float) -> int | None:
         """Return the position to start next, longest first, or None."""
         return self._queue.first(now_s)
 
-    def note_started(self, position: int, now_s: float, *, is_copy: bool = False) -> Run:
+    def record_start(self, position: int, now_s: float, *, is_copy: bool = False) -> Run:
         """Record that a run was started, and return it."""
         self._queue.remove(position)
         self._attempts[position] += 1
@@ -120,14 +120,14 @@
         self.runs.append(run)
         return run
 
-    def note_copied(self, late: Run, pace: Pace | None, now_s: float) -> Run:
+    def record_copy(self, late: Run, pace: Pace | None, now_s: float) -> Run:
         """Record that a second copy of a late run was started, and return it."""
         self.copies += 1
         if pace is not None:
             self.copy_waste_tokens += expected_waste_tokens(late, pace, now_s)
-        return self.note_started(late.position, now_s, is_copy=True)
+        return self.record_start(late.position, now_s, is_copy=True)
 
-    def copies_wanted(
+    def select_runs_to_copy(
         self, policy: CopyPolicy, pace: Pace | None, room: int, now_s: float
     ) -> Sequence[Run]:
         """Return the runs of which to start a second copy now."""
@@ -142,7 +142,7 @@
         )
         return decide_copies(view, policy, room, now_s)
 
-    def note_made(self, run: Run, sample: Sample) -> Sequence[Run]:
+    def record_sample(self, run: Run, sample: Sample) -> Sequence[Run]:
         """Record a run's sample; return the other runs of its position, to cancel.
 
         The first sample of a position counts. A later one replaces it only where
@@ -167,14 +167,14 @@
         self._wake()
         return [other for other in self.runs if other.position == position]
 
-    def note_failed(self, run: Run, now_s: float, jitter: float) -> None:
+    def record_failure(self, run: Run, now_s: float, jitter: float) -> None:
         """Record a run that ended without a sample; its position is queued again."""
         self._end(run)
         self.wasted_tokens += run.tokens
         if self._needs_run(run.position):
             self._queue.add_failed(run.position, now_s, jitter)
 
-    def note_cancelled(self, run: Run) -> None:
+    def record_cancellation(self, run: Run) -> None:
         """Record a run that was cancelled on purpose."""
         self._end(run)
         self.wasted_tokens += run.tokens
@@ -234,14 +234,14 @@
         return any(run.position == position for run in self.runs)
 
     def _will_be_fresh(self, sample: Sample) -> bool:
-        return is_fresh(sample, self.coming_version, self.spec.staleness_bound)
+        return is_fresh(sample, self.expected_version, self.spec.staleness_bound)
 
     def _is_useless(self, run: Run) -> bool:
         if run.position in self.held:
             return True
         if run.oldest_version is None:
             return False
-        return self.coming_version - run.oldest_version > self.spec.staleness_bound
+        return self.expected_version - run.oldest_version > self.spec.staleness_bound
 
     def _wake(self) -> None:
         self.changed.set()
--- a/tests/steps/test_exactly_once.py
+++ b/tests/steps/test_exactly_once.py
@@ -13,7 +13,7 @@
 )
 
 from samphirecleat.requests import Span, merge_spans
-from samphirecleat.steps import Pull, PullReply, Run, Sample, Step, StepSpec, TrainerRecord
+from samphirecleat.steps import DeliveryRecord, Pull, PullReply, Run, Sample, Step, StepSpec
 
 SPEC = StepSpec("trainer-1", "step-1", "asesor", ("a", "b", "c"), 2, 4, 1, "")
 OWNERS = (0, 1)
@@ -32,7 +32,7 @@
         COUNTS["interleavings"] += 1
         self.version = 0
         self.names = itertools.count()
-        self.record = TrainerRecord("client-0", SPEC.size, SPEC.staleness_bound)
+        self.record = DeliveryRecord("client-0", SPEC.size, SPEC.staleness_bound)
         self.delivered: dict[int, Sample] = {}
         self.made: dict[str, Sample] = {}
         self.pull_versions: dict[tuple[str, int], int] = {}
@@ -76,9 +76,9 @@
     def owner_starts_a_run(self, owner: int) -> None:
         self._act()
         step = self.steps[owner]
-        position = step.next_start(1e9) if step is not None else None
+        position = step.next_position(1e9) if step is not None else None
         if step is not None and position is not None:
-            self.spans[step.note_started(position, 0.0)] = []
+            self.spans[step.record_start(position, 0.0)] = []
 
     @rule(owner=owners, pick=picks)
     def owner_copies_a_run(self, owner: int, pick: int) -> None:
@@ -86,7 +86,7 @@
         step = self.steps[owner]
         if step is not None and step.runs:
             run = step.runs[pick % len(step.runs)]
-            self.spans[step.note_started(run.position, 0.0, is_copy=True)] = []
+            self.spans[step.record_start(run.position, 0.0, is_copy=True)] = []
 
     @rule(owner=owners, pick=picks, lag=st.integers(min_value=0, max_value=2))
     def run_makes_tokens(self, owner: int, pick: int, lag: int) -> None:
@@ -95,7 +95,7 @@
         if step is not None and step.runs:
             run = step.runs[pick % len(step.runs)]
             span = Span(max(0, self.version - lag), 2)
-            run.note_span(span, 0.0)
+            run.record_span(span, 0.0)
             self.spans[run].append(span)
 
     @rule(owner=owners, pick=picks, cancels=st.booleans())
@@ -107,19 +107,19 @@
             return
         run = step.runs[pick % len(step.runs)]
         if not self.spans[run]:
-            step.note_failed(run, 0.0, 0.5)
+            step.record_failure(run, 0.0, 0.5)
             return
-        for loser in step.note_made(run, self._make_sample(run)):
+        for loser in step.record_sample(run, self._make_sample(run)):
             if cancels:
-                step.note_cancelled(loser)
+                step.record_cancellation(loser)
 
     @rule(owner=owners)
     def owner_looks_ahead(self, owner: int) -> None:
         self._act()
         step = self.steps[owner]
         if step is not None:
-            for run in step.expect_version(self.version):
-                step.note_cancelled(run)
+            for run in step.set_expected_version(self.version):
+                step.record_cancellation(run)
 
     @rule(owner=owners)
     def owner_restarts(self, owner: int) -> None:
@@ -136,12 +136,12 @@
         self._act()
         client_id = f"client-{next(self.names) + 1}"
         held = frozenset(self.delivered)
-        self.record = TrainerRecord(client_id, SPEC.size, SPEC.staleness_bound, held)
+        self.record = DeliveryRecord(client_id, SPEC.size, SPEC.staleness_bound, held)
 
     def teardown(self) -> None:
         """Once nothing fails any more, the step becomes whole."""
         for _round in range(4 * SPEC.size):
-            if self.record.whole:
+            if self.record.complete:
                 break
             self._receive(("submit", 0, self.record.client_id, frozenset(self.record.held)))
             self._finish_runs()
@@ -162,7 +162,7 @@
                     self.born[owner] = next(self.generation)
                     self.steps[owner] = Step(SPEC, held, 0.0, client_id)
                 else:
-                    step.take_held(client_id, held, 0.0)
+                    step.update_held(client_id, held, 0.0)
             case ("pull", int(owner), Pull() as pull):
                 step = self.steps[owner]
                 if step is not None:
@@ -199,15 +199,15 @@
     def _finish_runs(self) -> None:
         step = self.steps[0]
         assert step is not None
-        for run in step.expect_version(self.version):
-            step.note_cancelled(run)
-        while (position := step.next_start(1e9)) is not None:
-            self.spans[step.note_started(position, 0.0)] = []
+        for run in step.set_expected_version(self.version):
+            step.record_cancellation(run)
+        while (position := step.next_position(1e9)) is not None:
+            self.spans[step.record_start(position, 0.0)] = []
         for run in list(step.runs):
             if run in step.runs:
                 self.spans[run].append(Span(self.version, 2))
-                for loser in step.note_made(run, self._make_sample(run)):
-                    step.note_cancelled(loser)
+                for loser in step.record_sample(run, self._make_sample(run)):
+                    step.record_cancellation(loser)
 
 
 def test_every_position_is_delivered_once_whatever_is_lost_doubled_or_late(
--- a/tests/steps/test_scheduling.py
+++ b/tests/steps/test_scheduling.py
@@ -9,21 +9,21 @@
 from samphirecleat.blackboard import TargetView
 from samphirecleat.steps import (
     NO_VERSION,
-    CopyAllLate,
+    CopyAllRemaining,
     CopyPolicy,
-    CopySlow,
+    CopyStragglers,
     CopyView,
+    FairShareScheduler,
     NoCopies,
     Pace,
     Run,
-    ShareBook,
-    TrainerPace,
-    coming_version,
+    TrainerProgress,
     decide_copies,
     expected_waste_tokens,
     find_free_slots,
+    find_stale_targets,
+    predict_version,
     remaining_s,
-    stale_targets,
 )
 
 PACE = Pace(first_token_s=0.1, token_s=0.01)
@@ -32,25 +32,25 @@
 @pytest.mark.parametrize(
     ("pace", "newest", "expected"),
     [
-        pytest.param(TrainerPace(NO_VERSION), 7, 7, id="nothing known of the trainer"),
-        pytest.param(TrainerPace(7), 8, 8, id="it trains, and newer weights exist"),
-        pytest.param(TrainerPace(7), 7, 7, id="no newer weights exist"),
-        pytest.param(TrainerPace(7, pulling=True), 8, 7, id="it waits for this step"),
-        pytest.param(TrainerPace(7, True, True), 8, 8, id="it moves on within steps"),
-        pytest.param(TrainerPace(7), 20, 8, id="another trainer's weights are far ahead"),
-        pytest.param(TrainerPace(9), 7, 9, id="it is ahead of the engines"),
+        pytest.param(TrainerProgress(NO_VERSION), 7, 7, id="nothing known of the trainer"),
+        pytest.param(TrainerProgress(7), 8, 8, id="it trains, and newer weights exist"),
+        pytest.param(TrainerProgress(7), 7, 7, id="no newer weights exist"),
+        pytest.param(TrainerProgress(7, pulling=True), 8, 7, id="it waits for this step"),
+        pytest.param(TrainerProgress(7, True, True), 8, 8, id="it moves on within steps"),
+        pytest.param(TrainerProgress(7), 20, 8, id="another trainer's weights are far ahead"),
+        pytest.param(TrainerProgress(9), 7, 9, id="it is ahead of the engines"),
     ],
 )
 def test_the_version_that_the_next_pull_will_name(
-    pace: TrainerPace, newest: int, expected: int
+    pace: TrainerProgress, newest: int, expected: int
 ) -> None:
-    assert coming_version(pace, newest) == expected
+    assert predict_version(pace, newest) == expected
 
 
 @pytest.mark.parametrize(("bound", "stale"), [(0, {"a", "b"}), (1, {"a"}), (2, set())])
 def test_runs_are_not_started_on_weights_that_will_be_too_old(bound: int, stale: set[str]) -> None:
     targets = [TargetView(address, "s", "z", version=v) for v, address in enumerate("abc", 5)]
-    assert stale_targets(targets, 7, bound) == stale
+    assert find_stale_targets(targets, 7, bound) == stale
 
 
 def run_at(
@@ -73,10 +73,10 @@
     ("policy", "now_s", "copied"),
     [
         (NoCopies(), 0.6, set()),
-        (CopyAllLate(), 0.6, {0, 1, 2, 3}),
-        (CopySlow(0.5), 0.5, {1}),
-        (CopySlow(0.5), 1.2, {1, 2, 3}),
-        (CopySlow(0.0), 1.2, {2}),
+        (CopyAllRemaining(), 0.6, {0, 1, 2, 3}),
+        (CopyStragglers(0.5), 0.5, {1}),
+        (CopyStragglers(0.5), 1.2, {1, 2, 3}),
+        (CopyStragglers(0.0), 1.2, {2}),
     ],
 )
 def test_only_runs_that_lag_behind_the_usual_pace_are_copied(
@@ -102,24 +102,24 @@
     Copied only once the queue is empty, its copy would end long after all others.
     """
     view = CopyView([SILENT_AFTER_SOME], PACE, queued_tokens, 1000, 0)
-    chosen = decide_copies(view, CopySlow(0.5), 9, 0.9)
+    chosen = decide_copies(view, CopyStragglers(0.5), 9, 0.9)
     assert {run.position for run in chosen} == copied
 
 
 def test_copying_all_waits_for_the_queue_to_be_empty() -> None:
     view = CopyView([NORMAL], PACE, 1, 1000, 0)
-    assert decide_copies(view, CopyAllLate(), 9, 0.6) == ()
+    assert decide_copies(view, CopyAllRemaining(), 9, 0.6) == ()
 
 
 def test_no_position_runs_three_times() -> None:
     runs = [SILENT_AFTER_SOME, run_at(1, 0, 0.5)]
     view = CopyView(runs, PACE, 0, step_tokens=1000, wasted_tokens=0)
-    assert decide_copies(view, CopyAllLate(), 9, 60.0) == []
+    assert decide_copies(view, CopyAllRemaining(), 9, 60.0) == []
 
 
 def test_without_a_known_pace_nothing_is_copied() -> None:
     view = CopyView([SILENT_AFTER_SOME], None, 0, 1000, 0)
-    assert decide_copies(view, CopySlow(1.0), 9, 60.0) == ()
+    assert decide_copies(view, CopyStragglers(1.0), 9, 60.0) == ()
 
 
 @given(
@@ -133,7 +133,7 @@
 ) -> None:
     runs = [run_at(position, count, 0.0, 0.1) for position, count in enumerate(tokens)]
     view = CopyView(runs, PACE, 0, 100 * len(runs), spent)
-    chosen = decide_copies(view, CopySlow(ratio), room, 60.0)
+    chosen = decide_copies(view, CopyStragglers(ratio), room, 60.0)
     assert len(chosen) <= room
     wasted = sum(expected_waste_tokens(run, PACE, 60.0) for run in chosen)
     assert spent + wasted <= max(spent, ratio * view.step_tokens + 1e-6)
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("shares", [{"a": 1.0, "b": 1.0}, {"a": 3.0, "b": 1.0}, {"a": 0.5}])
 def test_trainers_get_their_shares_of_tokens(shares: dict[str, float]) -> None:
-    book = ShareBook()
+    book = FairShareScheduler()
     got: Counter[str] = Counter()
     for turn in range(2000):
         trainer = book.next_trainer({"a", "b"})
@@ -158,7 +158,7 @@
 
     With all that it did not use to its credit, the others would get nothing until it had caught up.
     """
-    book = ShareBook()
+    book = FairShareScheduler()
     for _turn in range(100):
         book.charge(book.next_trainer({"a"}), 10, {})
     turns = Counter()
@@ -170,9 +170,9 @@
 
 
 def test_the_share_book_forgets_trainers_without_steps() -> None:
-    book = ShareBook()
+    book = FairShareScheduler()
     book.charge(book.next_trainer({"gone"}), 10, {})
-    book.rest({"here"})
+    book.retain({"here"})
     assert book.next_trainer({"gone"}) == "gone"
 
 
@@ -194,8 +194,8 @@
     A run sent to a full target would wait there while another target is idle.
     """
     target = TargetView("a", "s", "z", running=running, waiting=waiting, slots=8, reachable=True)
-    placement = find_free_slots([target], {"a": own})
-    assert (placement.full == {"a"}, placement.free_slots) == (full, free)
+    availability = find_free_slots([target], {"a": own})
+    assert (availability.full_targets == {"a"}, availability.free_slots) == (full, free)
 
 
 def test_targets_out_of_service_have_no_free_slots() -> None:
--- a/tests/steps/test_step.py
+++ b/tests/steps/test_step.py
@@ -28,8 +28,8 @@
 
 
 def make(step: Step, make_sample: SampleBuilder, position: int, version: int, name: str) -> None:
-    run = step.note_started(position, 0.0)
-    step.note_made(run, make_sample(position, version, name))
+    run = step.record_start(position, 0.0)
+    step.record_sample(run, make_sample(position, version, name))
 
 
 def names(step: Step, asked: Pull) -> dict[int, str]:
@@ -46,7 +46,7 @@
     step = Step(make_spec(), NOTHING, 0.0, "client")
     make(step, make_sample, 0, 0, "first")
     assert names(step, pull(1)) == {0: "first"}
-    step.expect_version(2)
+    step.set_expected_version(2)
     make(step, make_sample, 0, 2, "again")
     assert names(step, pull(1)) == {0: "first"}
     assert names(step, pull(1, version=2)) == {}
@@ -89,9 +89,9 @@
     Judged by its last token, the sample would be delivered with tokens that are past the bound.
     """
     step = Step(make_spec(staleness_bound=1), NOTHING, 0.0, "client")
-    run = step.note_started(0, 0.0)
+    run = step.record_start(0, 0.0)
     sample = make_sample(0)._replace(spans=[Span(0, 3), Span(4, 7)])
-    step.note_made(run, sample)
+    step.record_sample(run, sample)
     assert names(step, pull(1, version=2)) == {}
 
 
@@ -103,13 +103,13 @@
     Left alone, it would end as a sample that is thrown away, and the step would wait for another.
     """
     step = Step(make_spec(staleness_bound=1), NOTHING, 0.0, "client")
-    run = step.note_started(0, 0.0)
-    run.note_span(Span(0, 1), 0.0)
-    run.note_span(Span(3, 1), 0.0)
-    assert step.expect_version(1) == []
-    assert step.expect_version(2) == [run]
-    step.note_cancelled(run)
-    assert step.next_start(0.0) == 0
+    run = step.record_start(0, 0.0)
+    run.record_span(Span(0, 1), 0.0)
+    run.record_span(Span(3, 1), 0.0)
+    assert step.set_expected_version(1) == []
+    assert step.set_expected_version(2) == [run]
+    step.record_cancellation(run)
+    assert step.next_position(0.0) == 0
     assert step.wasted_tokens == 2
 
 
@@ -122,9 +122,9 @@
     """
     step = Step(make_spec(groups=1, per_group=1, staleness_bound=0), NOTHING, 0.0, "client")
     make(step, make_sample, 0, 0, "old")
-    assert step.next_start(0.0) is None
-    step.expect_version(1)
-    assert step.next_start(0.0) == 0
+    assert step.next_position(0.0) is None
+    step.set_expected_version(1)
+    assert step.next_position(0.0) == 0
     assert names(step, pull(1, version=0)) == {0: "old"}
     make(step, make_sample, 0, 1, "new")
     assert names(step, pull(2, version=1)) == {0: "new"}
@@ -139,11 +139,11 @@
     changes.
     """
     step = Step(make_spec(), NOTHING, 0.0, "client")
-    slow = step.note_started(0, 0.0)
-    copy = step.note_started(0, 0.0, is_copy=True)
-    slow.note_span(Span(0, 7), 0.0)
-    assert step.note_made(copy, make_sample(0, 0, "copy")) == [slow]
-    assert step.note_made(slow, make_sample(0, 0, "slow")) == []
+    slow = step.record_start(0, 0.0)
+    copy = step.record_start(0, 0.0, is_copy=True)
+    slow.record_span(Span(0, 7), 0.0)
+    assert step.record_sample(copy, make_sample(0, 0, "copy")) == [slow]
+    assert step.record_sample(slow, make_sample(0, 0, "slow")) == []
     assert names(step, pull(1)) == {0: "copy"}
     assert step.wasted_tokens == 7
 
@@ -160,9 +160,9 @@
     waits = []
     for _attempt in range(4):
         failed_at_s = now_s
-        step.note_failed(step.note_started(0, now_s), now_s, 0.5)
-        while step.next_start(now_s) != 0:
-            assert step.next_start(now_s) == 1
+        step.record_failure(step.record_start(0, now_s), now_s, 0.5)
+        while step.next_position(now_s) != 0:
+            assert step.next_position(now_s) == 1
             now_s += 0.01
         waits.append(now_s - failed_at_s)
     assert all(later > 1.5 * earlier for earlier, later in itertools.pairwise(waits))
@@ -172,8 +172,8 @@
     spec = make_spec(groups=3, per_group=1, max_tokens=100, group_length_hints=(5, 90, 20))
     step = Step(spec, NOTHING, 0.0, "client")
     order = []
-    while (position := step.next_start(0.0)) is not None:
-        step.note_started(position, 0.0)
+    while (position := step.next_position(0.0)) is not None:
+        step.record_start(position, 0.0)
         order.append(position)
     assert order == [1, 2, 0]
 
@@ -200,14 +200,14 @@
     make(step, make_sample, 0, 0, "first")
     step.pull(pull(7, held=frozenset({0, 1})), 0.0)
     assert step.done
-    step.take_held("another client", NOTHING, 0.0)
-    assert [step.next_start(0.0), step.missing] == [0, 2]
+    step.update_held("another client", NOTHING, 0.0)
+    assert [step.next_position(0.0), step.missing] == [0, 2]
 
 
 def test_an_old_message_of_the_same_record_takes_nothing_back(make_spec: SpecBuilder) -> None:
     step = Step(make_spec(), NOTHING, 0.0, "client")
-    step.take_held("client", frozenset({0, 1}), 0.0)
-    step.take_held("client", frozenset({0}), 0.0)
+    step.update_held("client", frozenset({0, 1}), 0.0)
+    step.update_held("client", frozenset({0}), 0.0)
     assert step.held == {0, 1}
 
 
@@ -219,10 +219,10 @@
     Going on would cost tokens that nobody takes.
     """
     step = Step(make_spec(), NOTHING, 0.0, "client")
-    run = step.note_started(1, 0.0)
-    step.take_held("client", frozenset({0, 1}), 0.0)
-    assert step.expect_version(0) == [run]
-    assert step.next_start(0.0) == 2
+    run = step.record_start(1, 0.0)
+    step.update_held("client", frozenset({0, 1}), 0.0)
+    assert step.set_expected_version(0) == [run]
+    assert step.next_position(0.0) == 2
 
 
 @pytest.mark.parametrize("positions", [frozenset(), frozenset({0}), frozenset({0, 7, 8, 511})])
