--- a/samphirecleat/steps/__init__.py
+++ b/samphirecleat/steps/__init__.py
@@ -1,4 +1,4 @@
-"""Training steps: their data, and their state at the node that works on them."""
+"""Training steps: data types, and the state of a step on the node that executes it."""
 
 from ._copies import (
     DEFAULT_COPY_POLICY,
--- a/samphirecleat/steps/_copies.py
+++ b/samphirecleat/steps/_copies.py
@@ -1,7 +1,8 @@
-"""When a second copy of a sample that is late is worth its tokens.
+"""Speculative copies: deciding when to run a late sample a second time.
 
-A run is late by its pace, never by its length: a copy of a sample that is merely
-long would take as long, and taking the first to end would favour short answers.
+A run counts as late by its pace, never by its length: a copy of a sample that is
+merely long would take as long, and using whichever run ends first would bias
+samples toward short answers.
 """
 
 from collections import deque
@@ -10,37 +11,37 @@
 from statistics import median
 from typing import Final, NamedTuple
 
-from ._run import NO_TIME_S, Run
+from ._run import UNSET_TIME_S, Run
 
-PACES_KEPT: Final = 64
-PACES_NEEDED: Final = 5
-WORTH_FACTOR: Final = 1.5
-FIRST_TOKEN_FACTOR: Final = 4.0
-MAX_COPIES: Final = 1
+PACE_WINDOW_RUNS: Final = 64
+MIN_PACE_RUNS: Final = 5
+MIN_SPEEDUP_FACTOR: Final = 1.5
+LATE_FIRST_TOKEN_FACTOR: Final = 4.0
+MAX_RUNS_BEFORE_COPY: Final = 1
 
 
 class Pace(NamedTuple):
-    """How fast runs of a service usually are."""
+    """Typical speed of a service's runs, in seconds to the first token and per token."""
 
     first_token_s: float
     token_s: float
 
-    def whole_s(self, tokens: int) -> float:
-        """Return how long a run of so many tokens usually takes."""
+    def duration_s(self, tokens: int) -> float:
+        """Return how long a run of ``tokens`` tokens typically takes."""
         return self.first_token_s + self.token_s * tokens
 
 
 class PaceEstimator:
-    """The paces of the latest runs of a service; the median is their pace."""
+    """Estimates the pace of a service as the median of its latest 64 runs."""
 
     def __init__(self) -> None:
-        """Start without any run."""
-        self._first_token_s: deque[float] = deque(maxlen=PACES_KEPT)
-        self._token_s: deque[float] = deque(maxlen=PACES_KEPT)
+        """Create an estimator without any runs."""
+        self._first_token_s: deque[float] = deque(maxlen=PACE_WINDOW_RUNS)
+        self._token_s: deque[float] = deque(maxlen=PACE_WINDOW_RUNS)
         self._pace: Pace | None = None
 
     def record_run(self, run: Run) -> None:
-        """Record a run whose text is whole."""
+        """Record a run whose text is complete; other runs are ignored."""
         if run.tokens == 0 or not run.scoring:
             return
         self._first_token_s.append(run.first_token_at_s - run.started_at_s)
@@ -49,8 +50,8 @@
 
     @property
     def pace(self) -> Pace | None:
-        """The usual pace, or None while too few runs are known."""
-        if len(self._token_s) < PACES_NEEDED:
+        """The estimated pace, or None while fewer than 5 runs are recorded."""
+        if len(self._token_s) < MIN_PACE_RUNS:
             return None
         if self._pace is None:
             self._pace = Pace(median(self._first_token_s), median(self._token_s))
@@ -59,22 +60,22 @@
 
 @dataclass(frozen=True)
 class NoCopies:
-    """Never run a sample twice at a time."""
+    """Never start copies."""
 
 
 @dataclass(frozen=True)
 class CopyAllRemaining:
-    """Copy every run that is left once the rest of its step is done."""
+    """Copy every run that is left once no position of the step is queued any more."""
 
 
 @dataclass(frozen=True)
 class CopyStragglers:
-    """Copy those runs that lag behind the usual pace, within a budget.
+    """Copy the runs that are slower than the typical pace, within a budget.
 
-    A copy starts as late as it may without holding the step up: once the rest of
-    the queue takes no longer than the copy itself will.
-    ``budget_ratio`` bounds the tokens that copies are expected to waste by a share
-    of the step's own.
+    A copy starts as late as possible without delaying the step: once the queued
+    positions are expected to take no longer than the copy itself.
+    ``budget_ratio`` limits the tokens that copies are expected to waste to a share
+    of the step's expected tokens.
     """
 
     budget_ratio: float
@@ -85,11 +86,11 @@
 
 
 class CopyView(NamedTuple):
-    """What the second copies of one step are decided from.
+    """Inputs of the decision which runs of one step to copy.
 
-    ``runs`` are all that go on. ``queued_tokens``, ``step_tokens`` and
-    ``wasted_tokens`` are the expected tokens of what still waits for a run, of the
-    whole step, and of what the copies started so far waste.
+    ``runs`` are all runs in progress. The token counts are expected values:
+    ``queued_tokens`` of the positions that wait for a run, ``step_tokens`` of the
+    entire step, ``wasted_tokens`` of the waste by the copies started so far.
     """
 
     runs: Sequence[Run]
@@ -100,7 +101,10 @@
 
 
 def decide_copies(view: CopyView, policy: CopyPolicy, room: int, now_s: float) -> Sequence[Run]:
-    """Return the runs to copy now, at most ``room``, the latest to end first."""
+    """Return at most ``room`` runs to copy now.
+
+    Under :class:`CopyStragglers` the run expected to end last comes first.
+    """
     alone = _runs_alone(view.runs)
     match policy:
         case NoCopies():
@@ -112,58 +116,66 @@
                 return ()
             pace = view.pace
             queue_s = pace.token_s * view.queued_tokens / len(view.runs) if view.runs else 0.0
-            slow = [run for run in alone if _is_worth_a_copy(run, pace, queue_s, now_s)]
-            slow.sort(key=lambda run: -remaining_s(run, pace, now_s))
-            left_tokens = budget_ratio * view.step_tokens - view.wasted_tokens
-            wastes = [(run, expected_waste_tokens(run, pace, now_s)) for run in slow]
-            return _within(wastes, left_tokens)[:room]
+            stragglers = [run for run in alone if _is_worth_copying(run, pace, queue_s, now_s)]
+            stragglers.sort(key=lambda run: -remaining_s(run, pace, now_s))
+            budget_tokens = budget_ratio * view.step_tokens - view.wasted_tokens
+            wastes = [(run, expected_waste_tokens(run, pace, now_s)) for run in stragglers]
+            return _select_within_budget(wastes, budget_tokens)[:room]
 
 
 def remaining_s(run: Run, pace: Pace, now_s: float) -> float:
-    """Return how long a run is expected to take yet, at the pace it has shown.
+    """Return the expected remaining time of a run, at its own pace so far.
 
-    One that has shown no token for long is taken to start anew at that pace.
+    A run without a token is expected to take a full run at ``pace``; once its first
+    token is overdue, the time it has waited is added.
     """
-    left = max(1, run.expected_tokens - run.tokens)
+    remaining_tokens = max(1, run.expected_tokens - run.tokens)
     if run.tokens == 0:
         waited_s = now_s - run.started_at_s
-        if waited_s <= pace.first_token_s * FIRST_TOKEN_FACTOR:
-            return pace.whole_s(run.expected_tokens)
-        return waited_s + pace.whole_s(run.expected_tokens)
+        if waited_s <= pace.first_token_s * LATE_FIRST_TOKEN_FACTOR:
+            return pace.duration_s(run.expected_tokens)
+        return waited_s + pace.duration_s(run.expected_tokens)
     own_token_s = (now_s - run.first_token_at_s) / run.tokens
-    return left * own_token_s
+    return remaining_tokens * own_token_s
 
 
 def expected_waste_tokens(run: Run, pace: Pace, now_s: float) -> float:
-    """Return how many tokens a late run will have made once a copy overtakes it."""
+    """Return how many tokens a late run will have generated when its copy ends."""
     if run.tokens == 0:
         return 0.0
     own_token_s = (now_s - run.first_token_at_s) / run.tokens
-    return run.tokens + pace.whole_s(run.expected_tokens) / max(own_token_s, pace.token_s)
+    return run.tokens + pace.duration_s(run.expected_tokens) / max(own_token_s, pace.token_s)
 
 
-def _is_worth_a_copy(run: Run, pace: Pace, queue_s: float, now_s: float) -> bool:
-    """Whether it would end late even if a copy began only after the queue."""
-    copy_s = pace.whole_s(run.expected_tokens)
-    return queue_s <= copy_s and remaining_s(run, pace, now_s) > queue_s + WORTH_FACTOR * copy_s
+def _is_worth_copying(run: Run, pace: Pace, queue_s: float, now_s: float) -> bool:
+    """Return whether a copy started after the queue would still end well before the run.
+
+    False while the queue takes longer than the copy: the decision can wait.
+    """
+    copy_s = pace.duration_s(run.expected_tokens)
+    return (
+        queue_s <= copy_s and remaining_s(run, pace, now_s) > queue_s + MIN_SPEEDUP_FACTOR * copy_s
+    )
 
 
 def _runs_alone(runs: Sequence[Run]) -> list[Run]:
-    """Return the runs whose position has no other, and that still generate."""
+    """Return the runs that still generate and are the only one of their position."""
     counts: dict[int, int] = {}
     for run in runs:
         counts[run.position] = counts.get(run.position, 0) + 1
     return [
         run
         for run in runs
-        if counts[run.position] <= MAX_COPIES and run.generated_at_s == NO_TIME_S
+        if counts[run.position] <= MAX_RUNS_BEFORE_COPY and run.generated_at_s == UNSET_TIME_S
     ]
 
 
-def _within(wastes: Sequence[tuple[Run, float]], left_tokens: float) -> Sequence[Run]:
-    taken = []
+def _select_within_budget(
+    wastes: Sequence[tuple[Run, float]], budget_tokens: float
+) -> Sequence[Run]:
+    selected = []
     for run, waste_tokens in wastes:
-        if waste_tokens <= left_tokens:
-            left_tokens -= waste_tokens
-            taken.append(run)
-    return taken
+        if waste_tokens <= budget_tokens:
+            budget_tokens -= waste_tokens
+            selected.append(run)
+    return selected
--- a/samphirecleat/steps/_freshness.py
+++ b/samphirecleat/steps/_freshness.py
@@ -1,4 +1,4 @@
-"""Which weight versions a trainer will accept by the time a sample is ready."""
+"""Prediction of the weight version that a trainer will be at when a sample is ready."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -8,12 +8,13 @@
 
 
 class TrainerProgress(NamedTuple):
-    """What one node knows of a trainer's progress.
+    """A trainer's progress, as known to one node.
 
-    ``version`` is what its latest pull or submission named. ``pulling`` holds
-    while a pull waits here. ``moves_within_steps`` turns true once its version
-    rose between two pulls of one step, as with a trainer that does not wait for
-    a whole step before it goes on.
+    ``version`` is the weight version named by its latest pull or submission.
+    ``pulling`` is true while a pull of the trainer waits on this node.
+    ``advances_within_steps`` becomes true once its version has risen between two
+    pulls of one step: such a trainer does not wait for a complete step before it
+    trains on.
     """
 
     version: int = NO_VERSION
@@ -22,13 +23,13 @@
 
 
 def predict_version(pace: TrainerProgress, newest_version: int) -> int:
-    """Return the version that the trainer is expected to be at when it pulls next.
+    """Return the weight version that the trainer's next pull is expected to name.
 
-    ``newest_version`` is the newest that the service's weights are known to
-    have. A trainer that waits for this very step stays where it is; any other is
-    taken to be one ahead once such weights exist. No more than one: a service's
-    weights may be another trainer's, and a trainer far behind them would see
-    every run discarded.
+    ``newest_version`` is the newest known version of the service's weights. A
+    trainer that waits for this step stays at its version. Any other is expected to
+    be one version ahead if such weights exist, and never more: the weights may
+    belong to another trainer, and for a trainer far behind them every run would be
+    discarded.
     """
     if pace.version == NO_VERSION:
         return newest_version
@@ -38,13 +39,14 @@
 
 
 def find_stale_targets(
-    targets: Sequence[TargetView], coming: int, staleness_bound: int
+    targets: Sequence[TargetView], expected_version: int, staleness_bound: int
 ) -> frozenset[str]:
-    """Return the addresses whose weights are too old to start a run on.
+    """Return the addresses of targets whose weights are too old to start a run on.
 
-    Their samples would be past the bound when they are ready: work done for
-    nothing, and a step that waits for its replacement.
+    Their samples would exceed the staleness bound when they are ready: the work
+    would be wasted and the step delayed by the replacement. ``expected_version`` is the
+    version that the trainer is expected to be at.
     """
     return frozenset(
-        target.address for target in targets if coming - target.version > staleness_bound
+        target.address for target in targets if expected_version - target.version > staleness_bound
     )
--- a/samphirecleat/steps/_placement.py
+++ b/samphirecleat/steps/_placement.py
@@ -1,4 +1,4 @@
-"""Which targets have a free slot, so that samples wait with their step."""
+"""Free slots of targets; samples without a free slot stay queued in their step."""
 
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
@@ -7,10 +7,10 @@
 
 
 class SlotAvailability(NamedTuple):
-    """Where runs may be started now.
+    """Capacity for new runs, as known to this node.
 
-    ``full_targets`` are addresses of targets that have no free slot as far as this node
-    knows; ``free_slots`` are those of all the others.
+    ``full_targets`` are the addresses of targets without a free slot;
+    ``free_slots`` is the number of free slots on all usable targets.
     """
 
     full_targets: frozenset[str]
@@ -20,11 +20,11 @@
 def find_free_slots(
     targets: Sequence[TargetView], in_flight: Mapping[str, int]
 ) -> SlotAvailability:
-    """Return what is free on the usable targets of a service.
+    """Return the capacity for new runs on the targets of a service.
 
-    A run sent to a full target waits in a queue of that target, where it can be
-    neither reordered nor given to a target that becomes free sooner.
-    ``in_flight`` counts this node's own calls, which the reports lag behind.
+    A run sent to a full target waits in that target's queue, where it can neither
+    be reordered nor moved to a target that becomes free sooner. ``in_flight``
+    counts this node's own calls by target address: load reports lag behind them.
     """
     full = set()
     free_slots = 0
--- a/samphirecleat/steps/_positions.py
+++ b/samphirecleat/steps/_positions.py
@@ -1,4 +1,4 @@
-"""The positions of a step that still need a run, longest first."""
+"""Queue of the positions of a step that need a run."""
 
 import heapq
 from collections import Counter
@@ -6,63 +6,71 @@
 
 from ._types import StepSpec
 
-FIRST_RETRY_S: Final = 0.1
-LONGEST_RETRY_S: Final = 5.0
-AT_ONCE_S: Final = 0.0
+MIN_RETRY_DELAY_S: Final = 0.1
+MAX_RETRY_DELAY_S: Final = 5.0
+DUE_NOW_S: Final = 0.0
 
 
 class PositionQueue:
-    """Positions to start, longest expected first, then group by group.
+    """Priority queue of positions, longest expected sample first, then by position.
 
-    A position whose run failed waits longer each time, so that one that can not
-    succeed costs little and holds up no other.
+    A position whose run failed is delayed with exponential backoff, so that one
+    that cannot succeed costs little and does not delay the others.
     """
 
     def __init__(self, spec: StepSpec) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self._spec = spec
         self._due: list[tuple[int, int]] = []
         self._delayed: list[tuple[float, int]] = []
         self._due_at_s: dict[int, float] = {}
         self._failures: Counter[int] = Counter()
         self.tokens = 0
-        """The expected tokens of all queued positions."""
+        """Expected tokens of all queued positions."""
 
     def __len__(self) -> int:
         return len(self._due_at_s)
 
     def add(self, position: int) -> None:
-        """Queue a position, once."""
+        """Queue a position that is due now; no effect if it is queued already."""
         if position not in self._due_at_s:
-            self._insert(position, AT_ONCE_S)
+            self._insert(position, DUE_NOW_S)
             heapq.heappush(self._due, self._rank(position))
 
     def add_failed(self, position: int, now_s: float, jitter: float) -> None:
-        """Queue a position whose run failed; ``jitter`` is from 0.0 to 1.0."""
+        """Queue a position whose run failed, due after a delay.
+
+        The delay doubles with each failure, from 0.1 s to 5 s, and is scaled by a
+        factor from 0.5 to 1.5 according to ``jitter``, which is from 0.0 to 1.0.
+        No effect if the position is queued already.
+        """
         if position in self._due_at_s:
             return
         self._failures[position] += 1
-        doubled_s = FIRST_RETRY_S * 2.0 ** min(10, self._failures[position] - 1)
-        wait_s = min(LONGEST_RETRY_S, doubled_s) * (0.5 + jitter)
-        self._insert(position, now_s + wait_s)
-        heapq.heappush(self._delayed, (now_s + wait_s, position))
+        backoff_s = MIN_RETRY_DELAY_S * 2.0 ** min(10, self._failures[position] - 1)
+        delay_s = min(MAX_RETRY_DELAY_S, backoff_s) * (0.5 + jitter)
+        self._insert(position, now_s + delay_s)
+        heapq.heappush(self._delayed, (now_s + delay_s, position))
 
     def remove(self, position: int) -> None:
-        """Take a position out; it is skipped when its turn comes."""
+        """Remove a position if it is queued.
+
+        Its heap entry stays and is skipped by :meth:`first`.
+        """
         if self._due_at_s.pop(position, None) is not None:
             self.tokens -= self._spec.expected_tokens_of(position)
 
     def first(self, now_s: float) -> int | None:
-        """Return the position whose turn it is, or None when none is due."""
+        """Return the first position that is due, without removing it, or None."""
         while self._delayed and self._delayed[0][0] <= now_s:
             due_at_s, position = heapq.heappop(self._delayed)
-            # An entry of a position that was taken out since counts no more.
+            # Skips entries of positions that were removed or queued again since.
             if self._due_at_s.get(position) == due_at_s:
-                self._due_at_s[position] = AT_ONCE_S
+                self._due_at_s[position] = DUE_NOW_S
                 heapq.heappush(self._due, self._rank(position))
         while self._due:
             position = self._due[0][1]
-            if self._due_at_s.get(position) == AT_ONCE_S:
+            if self._due_at_s.get(position) == DUE_NOW_S:
                 return position
             heapq.heappop(self._due)
         return None
--- a/samphirecleat/steps/_types.py
+++ b/samphirecleat/steps/_types.py
@@ -1,4 +1,4 @@
-"""The data of a training step: what a trainer asks for and what it gets."""
+"""Data types of training steps, and their JSON form."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, Final, NamedTuple
@@ -6,16 +6,17 @@
 from ..requests import Span
 
 NO_VERSION: Final = -1
-"""The trainer has not said yet which weight version it is at."""
+"""Weight version of a trainer that has not named one yet."""
 
 
 class StepSpec(NamedTuple):
-    """A step as a trainer submits it.
+    """A step as submitted by a trainer; one prompt makes one group of samples.
 
-    A sample's position is ``group * samples_per_group + index``; it is the same
-    at every node and over every submission of the step. ``group_max_tokens`` and
-    ``group_length_hints`` hold one number a group, or nothing; a hint is the
-    length in tokens that the trainer expects.
+    The position of a sample is ``group * samples_per_group + index``; it is the
+    same on every node and in every submission of the step. ``group_max_tokens``
+    and ``group_length_hints`` hold one number per group or are empty; a hint is the
+    number of tokens that the trainer expects. ``staleness_bound`` is in weight
+    versions.
     """
 
     trainer: str
@@ -31,7 +32,7 @@
 
     @property
     def size(self) -> int:
-        """How many samples the step has."""
+        """Number of samples of the step."""
         return len(self.prompts) * self.samples_per_group
 
     def group_of(self, position: int) -> int:
@@ -48,21 +49,21 @@
         return self.prompts[self.group_of(position)]
 
     def max_tokens_of(self, position: int) -> int:
-        """Return how many tokens a sample may have at most."""
+        """Return the maximum number of tokens of a sample."""
         if not self.group_max_tokens:
             return self.max_tokens
         return self.group_max_tokens[self.group_of(position)]
 
     def expected_tokens_of(self, position: int) -> int:
-        """Return how many tokens a sample is expected to have."""
-        most = self.max_tokens_of(position)
+        """Return the expected number of tokens of a sample: its hint, or else the maximum."""
+        max_tokens = self.max_tokens_of(position)
         if not self.group_length_hints:
-            return most
-        return max(1, min(most, self.group_length_hints[self.group_of(position)]))
+            return max_tokens
+        return max(1, min(max_tokens, self.group_length_hints[self.group_of(position)]))
 
 
 class Sample(NamedTuple):
-    """A sample that is made; ``spans`` cover all of its tokens without a gap."""
+    """A finished sample; ``spans`` cover all of its tokens without gaps."""
 
     position: int
     text: str
@@ -74,20 +75,22 @@
 
     @property
     def oldest_version(self) -> int:
-        """The oldest weight version that made any of its tokens."""
+        """The oldest weight version that generated any of the sample's tokens."""
         return min(span.version for span in self.spans)
 
     @property
     def tokens(self) -> int:
-        """How many tokens it has."""
+        """Number of tokens of the sample."""
         return sum(span.tokens for span in self.spans)
 
 
 class Pull(NamedTuple):
-    """One pull of a trainer: what it holds, and the weight version it is at.
+    """A trainer's request for samples.
 
-    ``client_id`` is that of one record of the trainer: its pulls are numbered
-    from 1 on, and a trainer that starts again without its record has a new one.
+    ``version`` is the trainer's weight version, ``held`` the positions it holds and
+    ``limit`` the maximum number of samples in the reply. ``client_id`` identifies
+    one record of the trainer, which numbers its pulls from 1; a trainer that
+    restarts without its record uses a new one.
     """
 
     number: int
@@ -99,9 +102,10 @@
 
 
 class PullReply(NamedTuple):
-    """The answer to one pull; ``number`` is that of the pull.
+    """The reply to the pull with the same ``number``.
 
-    ``whole_groups`` are those of which every sample is held or in this reply.
+    ``missing`` counts the positions that are neither held nor ready.
+    ``whole_groups`` are the groups of which every sample is held or in this reply.
     ``leaving`` asks the trainer to submit the step to another node.
     """
 
@@ -113,7 +117,7 @@
 
 
 def is_fresh(sample: Sample, version: int, staleness_bound: int) -> bool:
-    """Return whether a trainer at ``version`` may be given a sample."""
+    """Return whether a sample is within the staleness bound of a trainer at ``version``."""
     return version - sample.oldest_version <= staleness_bound
 
 
@@ -128,7 +132,7 @@
 def decode_positions(text: str, size: int) -> frozenset[int]:
     """Return the positions of a hexadecimal bitmap of at most ``size`` bits.
 
-    :raises ValueError: for a text that is none, or one with more bits.
+    :raises ValueError: if the text is not a hexadecimal number or has more bits.
     """
     if len(text) > size // 4 + 1:
         raise ValueError(f"the bitmap of held positions has more than {size} bits")
@@ -139,7 +143,7 @@
 
 
 def sample_to_json(sample: Sample, spec: StepSpec) -> Mapping[str, Any]:
-    """Return a sample as trainers receive it."""
+    """Return the JSON form of a sample, as sent to trainers."""
     return {
         "position": sample.position,
         "group": sample.position // spec.samples_per_group,
@@ -154,7 +158,7 @@
 
 
 def sample_from_json(row: Mapping[str, Any]) -> Sample:
-    """Return the sample of a received row; the inverse of :func:`sample_to_json`."""
+    """Parse a received sample; the inverse of :func:`sample_to_json`."""
     return Sample(
         position=int(row["position"]),
         text=str(row["text"]),
@@ -167,7 +171,7 @@
 
 
 def reply_to_json(reply: PullReply, spec: StepSpec) -> Mapping[str, Any]:
-    """Return the answer to a pull as trainers receive it."""
+    """Return the JSON form of a reply, as sent to trainers."""
     return {
         "pull": reply.number,
         "samples": [sample_to_json(sample, spec) for sample in reply.samples],
@@ -178,7 +182,7 @@
 
 
 def reply_from_json(body: Mapping[str, Any]) -> PullReply:
-    """Return the received answer to a pull; the inverse of :func:`reply_to_json`."""
+    """Parse a received reply; the inverse of :func:`reply_to_json`."""
     return PullReply(
         number=int(body["pull"]),
         samples=[sample_from_json(row) for row in body["samples"]],
