--- a/samphirecleat/requests/_progress.py
+++ b/samphirecleat/requests/_progress.py
@@ -79,8 +79,8 @@
     ``received`` is the progress received so far, or None if the answer arrives as
     a whole. ``max_quiet_periods`` limits the wait for a remote side that does not
     report the status of single requests; None means no limit but the deadline.
-    While such a side has sent nothing and reports a queue, the limit is four times
-    as high.
+    While such a side has sent nothing and reports a queue, the limit is multiplied
+    by ``QUEUED_PERIODS_FACTOR``.
     """
     match probe:
         case Unreachable():
--- a/samphirecleat/steps/_copies.py
+++ b/samphirecleat/steps/_copies.py
@@ -32,7 +32,7 @@
 
 
 class PaceEstimator:
-    """Estimates the pace of a service as the median of its latest 64 runs."""
+    """Estimates the pace of a service as the median of its latest runs."""
 
     def __init__(self) -> None:
         """Create an estimator without any runs."""
@@ -41,7 +41,7 @@
         self._pace: Pace | None = None
 
     def record_run(self, run: Run) -> None:
-        """Record a run whose text is complete; other runs are ignored."""
+        """Record a run; one without tokens or with an incomplete text is ignored."""
         if run.tokens == 0 or not run.scoring:
             return
         self._first_token_s.append(run.first_token_at_s - run.started_at_s)
@@ -50,7 +50,7 @@
 
     @property
     def pace(self) -> Pace | None:
-        """The estimated pace, or None while fewer than 5 runs are recorded."""
+        """The estimated pace, or None while too few runs are recorded."""
         if len(self._token_s) < MIN_PACE_RUNS:
             return None
         if self._pace is None:
--- a/samphirecleat/steps/_positions.py
+++ b/samphirecleat/steps/_positions.py
@@ -40,8 +40,8 @@
     def add_failed(self, position: int, now_s: float, jitter: float) -> None:
         """Queue a position whose run failed, due after a delay.
 
-        The delay doubles with each failure, from 0.1 s to 5 s, and is scaled by a
-        factor from 0.5 to 1.5 according to ``jitter``, which is from 0.0 to 1.0.
+        The delay doubles with each failure up to ``MAX_RETRY_DELAY_S``, and is then
+        scaled by a factor of 0.5 + ``jitter``, where ``jitter`` is from 0.0 to 1.0.
         No effect if the position is queued already.
         """
         if position in self._due_at_s:
--- a/samphirecleat/steps/_step.py
+++ b/samphirecleat/steps/_step.py
@@ -152,7 +152,8 @@
         """Record the sample of a run and return the other runs of its position, to cancel.
 
         The first sample of a position is kept. A later one replaces it only if the
-        first will exceed the staleness bound and its oldest weight version is newer.
+        first will exceed the staleness bound and the later one's oldest weight version
+        is newer.
         """
         self._remove_run(run)
         position = run.position
--- a/tests/steps/conftest.py
+++ b/tests/steps/conftest.py
@@ -1,4 +1,4 @@
-"""Builders that the tests of steps share."""
+"""Fixtures shared by the tests of steps."""
 
 from collections.abc import Callable
 
--- a/tests/steps/test_record.py
+++ b/tests/steps/test_record.py
@@ -1,4 +1,4 @@
-"""The trainer's own record of what was delivered."""
+"""The trainer's record of delivered samples."""
 
 from collections.abc import Callable
 
@@ -9,10 +9,11 @@
 SampleBuilder = Callable[..., Sample]
 
 
-def test_an_answer_to_an_earlier_pull_is_dropped(make_sample: SampleBuilder) -> None:
-    """An answer is held up on the way, and the trainer pulls again meanwhile.
+def test_reply_to_an_earlier_pull_is_dropped(make_sample: SampleBuilder) -> None:
+    """A reply is delayed and the trainer pulls again before it arrives.
 
-    Taken late, it could bring a sample that another node delivered in another content.
+    If it were accepted, it could deliver a different sample for a position that another
+    node has delivered.
     """
     record = DeliveryRecord("client", 2, 1)
     record.next_pull(0, 0.0, 9)
@@ -21,7 +22,7 @@
     assert len(record.accept(PullReply(second.number, [make_sample(0)], 1), 0)) == 1
 
 
-def test_an_answer_that_comes_twice_delivers_once(make_sample: SampleBuilder) -> None:
+def test_duplicated_reply_delivers_once(make_sample: SampleBuilder) -> None:
     record = DeliveryRecord("client", 2, 1)
     reply = PullReply(record.next_pull(0, 0.0, 9).number, [make_sample(0)], 1)
     assert len(record.accept(reply, 0)) == 1
@@ -29,30 +30,30 @@
 
 
 @pytest.mark.parametrize(
-    ("oldest", "at_pull", "at_answer", "taken"),
+    ("oldest", "at_pull", "at_reply", "accepted"),
     [(3, 4, 4, True), (3, 4, 5, False), (3, 5, 5, False), (3, 5, 4, False), (9, 4, 4, True)],
 )
-def test_a_sample_past_the_bound_is_never_held(
-    make_sample: SampleBuilder, oldest: int, at_pull: int, at_answer: int, taken: bool
+def test_sample_beyond_the_staleness_bound_is_not_held(
+    make_sample: SampleBuilder, oldest: int, at_pull: int, at_reply: int, accepted: bool
 ) -> None:
-    """The trainer moves on while its pull waits, or a node does not check the bound."""
+    """The trainer's version rises while its pull waits, or a node does not check the bound."""
     record = DeliveryRecord("client", 1, 1)
     number = record.next_pull(at_pull, 0.0, 9).number
-    delivered = record.accept(PullReply(number, [make_sample(0, oldest)], 0), at_answer)
-    assert bool(delivered) is taken
-    assert record.complete is taken
+    delivered = record.accept(PullReply(number, [make_sample(0, oldest)], 0), at_reply)
+    assert bool(delivered) is accepted
+    assert record.complete is accepted
 
 
-def test_a_position_that_the_step_does_not_have_is_dropped(make_sample: SampleBuilder) -> None:
+def test_position_outside_the_step_is_dropped(make_sample: SampleBuilder) -> None:
     record = DeliveryRecord("client", 1, 1)
     number = record.next_pull(0, 0.0, 9).number
     assert record.accept(PullReply(number, [make_sample(1)], 0), 0) == []
 
 
-def test_a_reply_with_a_position_twice_or_one_already_held_delivers_each_once(
+def test_duplicated_and_already_held_positions_in_a_reply_are_dropped(
     make_sample: SampleBuilder,
 ) -> None:
-    """A node answers with what the pull did not ask for, as one of another release might."""
+    """A node replies with samples that the pull did not request, as another release might."""
     record = DeliveryRecord("client", 2, 1, frozenset({0}))
     number = record.next_pull(0, 0.0, 9).number
     reply = PullReply(number, [make_sample(0), make_sample(1), make_sample(1, 0, "other")], 0)
