--- a/samphirecleat/requests/_key_book.py
+++ b/samphirecleat/requests/_key_book.py
@@ -138,8 +138,8 @@
 
         Returns ``Ran.NO`` only for a key of this incarnation whose request was not
         started; the key is recorded and will never be started. Returns
-        ``Ran.UNKNOWN`` in all other cases, such as a key of another process or one
-        that has expired.
+        ``Ran.UNKNOWN`` in all other cases: a key that was started, has expired or
+        belongs to another process.
         """
         if not self.owns(key) or str(key) in self._entries:
             return Ran.UNKNOWN
