--- a/samphirecleat/controllers/steps/_step_runner.py
+++ b/samphirecleat/controllers/steps/_step_runner.py
@@ -14,10 +14,10 @@
 from ...steps import (
     DEFAULT_COPY_POLICY,
     CopyPolicy,
-    PaceBook,
-    Placement,
+    FairShareScheduler,
+    PaceEstimator,
     Run,
-    ShareBook,
+    SlotAvailability,
     Step,
     find_free_slots,
 )
@@ -54,8 +54,8 @@
         self._producer = SampleProducer(board, dispatcher, rng)
         self._streamed = StreamedVersionTracker(board)
         self._tasks: dict[Run, asyncio.Task[None]] = {}
-        self._shares: defaultdict[str, ShareBook] = defaultdict(ShareBook)
-        self._paces: defaultdict[str, PaceBook] = defaultdict(PaceBook)
+        self._shares: defaultdict[str, FairShareScheduler] = defaultdict(FairShareScheduler)
+        self._paces: defaultdict[str, PaceEstimator] = defaultdict(PaceEstimator)
         self._resume_at_s: defaultdict[str, float] = defaultdict(float)
 
     @property
@@ -106,18 +106,18 @@
 
     def _start_runs(self, service: str, steps: Sequence[Step], now_s: float) -> None:
         targets = self._board.targets_of(service)
-        placement = find_free_slots(targets, self._board.in_flight)
-        free_slots = min(self._limiter.free_trainer_slots(service), placement.free_slots)
+        availability = find_free_slots(targets, self._board.in_flight)
+        free_slots = min(self._limiter.free_trainer_slots(service), availability.free_slots)
         usable = frozenset(target.address for target in targets if target.usable)
-        free_slots = self._start_copies(service, steps, usable, placement, free_slots, now_s)
-        self._start_first_runs(service, steps, usable, placement, free_slots, now_s)
+        free_slots = self._start_copies(service, steps, usable, availability, free_slots, now_s)
+        self._start_first_runs(service, steps, usable, availability, free_slots, now_s)
 
     def _start_copies(
         self,
         service: str,
         steps: Sequence[Step],
         usable: frozenset[str],
-        placement: Placement,
+        availability: SlotAvailability,
         free_slots: int,
         now_s: float,
     ) -> int:
@@ -128,10 +128,10 @@
         """
         pace = self._paces[service].pace
         for step in steps:
-            for slow_run in step.copies_wanted(self._copy_policy, pace, free_slots, now_s):
-                excluded = self._excluded_targets(step, placement, now_s) | {slow_run.target}
+            for slow_run in step.select_runs_to_copy(self._copy_policy, pace, free_slots, now_s):
+                excluded = self._excluded_targets(step, availability, now_s) | {slow_run.target}
                 if usable - excluded:
-                    run = step.note_copied(slow_run, pace, now_s)
+                    run = step.record_copy(slow_run, pace, now_s)
                     self._start(step, run, excluded)
                     free_slots -= 1
         return free_slots
@@ -141,29 +141,33 @@
         service: str,
         steps: Sequence[Step],
         usable: frozenset[str],
-        placement: Placement,
+        availability: SlotAvailability,
         free_slots: int,
         now_s: float,
     ) -> None:
         """Start first runs, choosing between trainers by their shares."""
-        excluded = {id(step): self._excluded_targets(step, placement, now_s) for step in steps}
+        excluded = {id(step): self._excluded_targets(step, availability, now_s) for step in steps}
         book = self._shares[service]
         # A step without a sufficiently new target waits without delaying other steps.
         startable = _by_trainer([step for step in steps if usable - excluded[id(step)]])
         while free_slots > 0 and startable:
             trainer = book.next_trainer(startable)
-            step = next((s for s in startable[trainer] if s.next_start(now_s) is not None), None)
+            step = next((s for s in startable[trainer] if s.next_position(now_s) is not None), None)
             if step is None:
                 del startable[trainer]
                 continue
-            position = step.next_start(now_s)
+            position = step.next_position(now_s)
             assert position is not None
-            self._start(step, step.note_started(position, now_s), excluded[id(step)])
+            self._start(step, step.record_start(position, now_s), excluded[id(step)])
             free_slots -= 1
-        book.rest({step.spec.trainer for step in steps})
+        book.retain({step.spec.trainer for step in steps})
 
-    def _excluded_targets(self, step: Step, placement: Placement, now_s: float) -> frozenset[str]:
-        return self._registry.version_forecast.stale_targets(step, now_s) | placement.full
+    def _excluded_targets(
+        self, step: Step, availability: SlotAvailability, now_s: float
+    ) -> frozenset[str]:
+        return (
+            self._registry.version_forecast.stale_targets(step, now_s) | availability.full_targets
+        )
 
     def _start(self, step: Step, run: Run, excluded: frozenset[str]) -> None:
         spec = step.spec
@@ -179,12 +183,12 @@
             sample = await self._producer.produce(step.spec, run, excluded, self._note_span)
         except RequestError as error:
             self._observer.counters[f"samples_failed_{error.kind.value}"] += 1
-            step.note_failed(run, loop.time(), self._rng.random())
+            step.record_failure(run, loop.time(), self._rng.random())
             self._back_off(step.spec.service, error, loop.time())
         else:
-            self._paces[step.spec.service].note(run)
+            self._paces[step.spec.service].record_run(run)
             self._observer.record_s("sample", loop.time() - run.started_at_s)
-            for other in step.note_made(run, sample):
+            for other in step.record_sample(run, sample):
                 self._cancel(step, other)
         finally:
             self._registry.work_available.set()
@@ -200,14 +204,14 @@
 
     def _cancel_stale_runs(self, step: Step, now_s: float) -> None:
         coming = self._registry.version_forecast.coming_version(step, now_s)
-        for run in step.expect_version(coming):
+        for run in step.set_expected_version(coming):
             self._observer.counters["runs_cancelled_stale"] += 1
             self._cancel(step, run)
 
     def _cancel(self, step: Step, run: Run) -> None:
         # Recorded here, since a task that is cancelled before it starts never handles the
         # cancellation.
-        step.note_cancelled(run)
+        step.record_cancellation(run)
         task = self._tasks.get(run)
         if task is not None:
             task.cancel()
--- a/samphirecleat/steps/_placement.py
+++ b/samphirecleat/steps/_placement.py
@@ -1,4 +1,4 @@
-"""Which targets have a free slot, so that samples wait with their step."""
+"""Free slots of targets; samples without a free slot stay queued in their step."""
 
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
@@ -6,23 +6,25 @@
 from ..blackboard import TargetView
 
 
-class Placement(NamedTuple):
-    """Where runs may be started now.
+class SlotAvailability(NamedTuple):
+    """Capacity for new runs, as known to this node.
 
-    ``full`` are addresses of targets that have no free slot as far as this node
-    knows; ``free_slots`` are those of all the others.
+    ``full_targets`` are the addresses of targets without a free slot;
+    ``free_slots`` is the number of free slots on all usable targets.
     """
 
-    full: frozenset[str]
+    full_targets: frozenset[str]
     free_slots: int
 
 
-def find_free_slots(targets: Sequence[TargetView], in_flight: Mapping[str, int]) -> Placement:
-    """Return what is free on the usable targets of a service.
+def find_free_slots(
+    targets: Sequence[TargetView], in_flight: Mapping[str, int]
+) -> SlotAvailability:
+    """Return the capacity for new runs on the targets of a service.
 
-    A run sent to a full target waits in a queue of that target, where it can be
-    neither reordered nor given to a target that becomes free sooner.
-    ``in_flight`` counts this node's own calls, which the reports lag behind.
+    A run sent to a full target waits in that target's queue, where it can neither
+    be reordered nor moved to a target that becomes free sooner. ``in_flight``
+    counts this node's own calls by target address: load reports lag behind them.
     """
     full = set()
     free_slots = 0
@@ -33,4 +35,4 @@
             full.add(target.address)
         elif target.usable:
             free_slots += free
-    return Placement(frozenset(full), free_slots)
+    return SlotAvailability(frozenset(full), free_slots)
