--- a/samphirecleat/bench/_membership.py
+++ b/samphirecleat/bench/_membership.py
@@ -122,7 +122,7 @@
     ) -> None:
         while True:
             rows = [MemberRow(self._row, 0)]
-            data = self._codec.pack(Message(MessageKind.NEWS, 0, "", 1, rows))
+            data = self._codec.pack(Message(MessageKind.UPDATE, 0, "", 1, rows))
             for address in others:
                 transport.sendto(data, address)
             self.sent_bytes += len(data) * len(others)
--- a/samphirecleat/controllers/membership/_discovery.py
+++ b/samphirecleat/controllers/membership/_discovery.py
@@ -9,7 +9,7 @@
 from ..._waiting import wait_for_event
 from ...blackboard import Blackboard, Member
 from ...observe import Observer
-from ...peers import ListedChange, Message, PeerClient, PeerUnavailableError
+from ...peers import HostListChange, Message, PeerClient, PeerUnavailableError
 from ...platform import HostListUnavailableError, HttpHostList, ListedHost
 from ._list_doubt import accept_rows
 
@@ -57,13 +57,13 @@
             if listed.row is not None or listed.read_at_s > now_s - REMOVED_ROW_TTL_S
         }
 
-    def apply_change(self, change: ListedChange, now_s: float) -> None:
+    def apply_change(self, change: HostListChange, now_s: float) -> None:
         """Apply a change read by another node, unless this node has a later reading."""
         row = ListedHost(change.address, change.service, change.zone, change.leaving)
         read_at_s = now_s - change.age_ms / 1000.0
         self._set_row(change.address, row if change.present else None, read_at_s)
 
-    def take_changes(self, now_s: float) -> Sequence[ListedChange]:
+    def take_changes(self, now_s: float) -> Sequence[HostListChange]:
         """Return pending changes for one datagram, counting one transmission of each."""
         addresses = list(self._pending)[:CHANGES_PER_MESSAGE]
         for address in addresses:
@@ -84,12 +84,12 @@
         if known is None or known.row != row:
             self._pending[address] = TRANSMISSIONS_PER_CHANGE
 
-    def _change(self, address: str, now_s: float) -> ListedChange:
+    def _change(self, address: str, now_s: float) -> HostListChange:
         listed = self.rows.get(address, ListedRow(None, now_s - REMOVED_ROW_TTL_S))
         row = listed.row or ListedHost(address, "", "", False)
         age_ms = max(0, int((now_s - listed.read_at_s) * 1000.0))
         present = listed.row is not None
-        return ListedChange(address, row.service, row.zone, row.leaving, present, age_ms)
+        return HostListChange(address, row.service, row.zone, row.leaving, present, age_ms)
 
 
 class Discovery:
@@ -155,7 +155,7 @@
                     fetched[row.address] = row
         now_s = asyncio.get_running_loop().time()
         for row in fetched.values():
-            change = ListedChange(row.address, row.service, row.zone, row.leaving, True, 0)
+            change = HostListChange(row.address, row.service, row.zone, row.leaving, True, 0)
             self.table.apply_change(change, now_s)
         if fetched:
             self._write_board()
@@ -164,19 +164,19 @@
     async def _fetch(self, member: Member) -> Sequence[ListedHost]:
         assert self._peers is not None
         try:
-            return await self._peers.fetch_listed(member, PEER_TIMEOUT_S)
+            return await self._peers.fetch_host_list(member, PEER_TIMEOUT_S)
         except PeerUnavailableError:
             return ()
 
     def add_updates(self, message: Message, now_s: float) -> Message:
         """Return the message with pending host list changes added."""
-        return message._replace(listed=self.table.take_changes(now_s))
+        return message._replace(host_list_changes=self.table.take_changes(now_s))
 
     def apply_updates(self, message: Message, now_s: float) -> None:
         """Apply the host list changes of a message from another node."""
-        if not message.listed:
+        if not message.host_list_changes:
             return
-        for change in message.listed:
+        for change in message.host_list_changes:
             self.table.apply_change(change, now_s)
         self._write_board()
 
--- a/samphirecleat/controllers/membership/_gossip.py
+++ b/samphirecleat/controllers/membership/_gossip.py
@@ -100,7 +100,7 @@
         """Return the messages that tell members of this process's exit."""
         peers = self._random_alive(ANNOUNCE_FAN_OUT)
         return [
-            Outgoing(record.member.peer_address, self._compose(MessageKind.GONE, 0, now_s))
+            Outgoing(record.member.peer_address, self._compose(MessageKind.EXIT, 0, now_s))
             for record in peers
         ]
 
@@ -118,13 +118,13 @@
                 outgoing.append(Outgoing(sender.peer_address, ack))
             case MessageKind.ACK:
                 outgoing.extend(self._handle_ack(message.nonce, sender, now_s))
-            case MessageKind.ASK:
+            case MessageKind.PING_REQ:
                 outgoing.extend(self._probe_indirectly(sender, message, now_s))
-            case MessageKind.GONE:
+            case MessageKind.EXIT:
                 self._mark_ended(sender.incarnation, Liveness.GONE, now_s)
-            case MessageKind.NEWS:
+            case MessageKind.UPDATE:
                 pass
-        outgoing.extend(self._sync(sender, message.known, now_s))
+        outgoing.extend(self._sync(sender, message.known_member_count, now_s))
         return outgoing
 
     def discards_messages(self, now_s: float) -> bool:
@@ -173,7 +173,7 @@
         if record is None or record.liveness is not Liveness.ALIVE:
             return ()
         silent_since_s = now_s - death.silent_for_ms / 1000.0
-        if death.own_word:
+        if death.self_reported:
             self._mark_ended(death.incarnation, Liveness.GONE, silent_since_s)
             return ()
         if record.made_at_s > silent_since_s or death.incarnation in self._probes:
@@ -195,7 +195,7 @@
                 self._mark_ended(probe.incarnation, Liveness.DEAD, now_s)
         if requester is None:
             return ()
-        return [Outgoing(requester, self._compose(MessageKind.NEWS, 0, now_s, first=sender))]
+        return [Outgoing(requester, self._compose(MessageKind.UPDATE, 0, now_s, first=sender))]
 
     def _probe_indirectly(
         self, requester: Member, message: Message, now_s: float
@@ -205,7 +205,7 @@
             self._indirect_requests.pop(next(iter(self._indirect_requests)))
         nonce = self._rng.getrandbits(32) | 1
         self._indirect_requests[nonce] = requester.peer_address
-        return [Outgoing(message.target, self._compose(MessageKind.PING, nonce, now_s))]
+        return [Outgoing(message.probe_address, self._compose(MessageKind.PING, nonce, now_s))]
 
     def _check_open_probes(self, now_s: float) -> Iterable[Outgoing]:
         """Resolve, time out or repeat the open probes."""
@@ -234,7 +234,9 @@
                 continue
             indirect_probes_left -= INDIRECT_PROBERS
             for prober in self._random_alive(INDIRECT_PROBERS, other_than=probe.incarnation):
-                ask = self._compose(MessageKind.ASK, 0, now_s)._replace(target=probe.address)
+                ask = self._compose(MessageKind.PING_REQ, 0, now_s)._replace(
+                    probe_address=probe.address
+                )
                 yield Outgoing(prober.member.peer_address, ask)
 
     def _probe_next(self, count: int, now_s: float) -> Sequence[Outgoing]:
@@ -313,7 +315,7 @@
         picked = self._rng.sample(
             others, min(len(others), DATAGRAMS_PER_SYNC * ROWS_PER_SYNC_DATAGRAM)
         )
-        news = self._compose(MessageKind.NEWS, 0, now_s)
+        news = self._compose(MessageKind.UPDATE, 0, now_s)
         return [
             Outgoing(
                 sender.peer_address,
@@ -357,8 +359,8 @@
             if record.liveness is not Liveness.ALIVE or verifies_report:
                 if len(deaths) < DEATHS_PER_MESSAGE:
                     since_s = probe.silent_since_s if probe else record.silent_since_s
-                    own_word = record.liveness is Liveness.GONE
-                    deaths.append(Death(incarnation, _to_ms(now_s - since_s), own_word))
+                    self_reported = record.liveness is Liveness.GONE
+                    deaths.append(Death(incarnation, _to_ms(now_s - since_s), self_reported))
                     self._count_transmission(incarnation)
             elif len(rows) <= UPDATE_ROWS_PER_MESSAGE:
                 if incarnation != self.own.incarnation:
--- a/samphirecleat/crashes/_news.py
+++ b/samphirecleat/crashes/_news.py
@@ -63,18 +63,18 @@
         """Record the reports of a message, and queue those that are new."""
         for row in message.crashes:
             ended_s = now_s - row.ended_age_ms / 1000.0
-            if row.mark == NO_CALL:
+            if row.digest == NO_CALL:
                 if self._ledger.note_ended_target(row.target, ended_s, now_s):
                     self.announce(NO_CALL, row.target)
                 continue
             if row.target == ANSWERED:
-                if self._ledger.note_answer(row.mark, ended_s):
-                    self.announce(row.mark)
+                if self._ledger.note_answer(row.digest, ended_s):
+                    self.announce(row.digest)
                 continue
             begun_s = now_s - row.begun_age_ms / 1000.0
             end = RunEnd(row.target, begun_s, ended_s, row.node)
-            if self._ledger.note_end(row.mark, end, now_s):
-                self.announce_end(row.mark, row.target, now_s)
+            if self._ledger.note_end(row.digest, end, now_s):
+                self.announce_end(row.digest, row.target, now_s)
 
     def _next_reports(self) -> list[tuple[bytes, str]]:
         """Return the next reports: calls with the most crashes first, then the least sent ones."""
--- a/samphirecleat/peers/__init__.py
+++ b/samphirecleat/peers/__init__.py
@@ -7,7 +7,7 @@
 from ._messages import (
     CrashRow,
     Death,
-    ListedChange,
+    HostListChange,
     MemberRow,
     Message,
     MessageKind,
@@ -26,7 +26,7 @@
     "Death",
     "HeartbeatCodec",
     "HeartbeatError",
-    "ListedChange",
+    "HostListChange",
     "MemberRow",
     "Message",
     "MessageKind",
--- a/samphirecleat/peers/_client.py
+++ b/samphirecleat/peers/_client.py
@@ -153,7 +153,7 @@
         report: Mapping[str, Any] = json.loads(reply.report)
         return report
 
-    async def fetch_listed(self, member: Member, timeout_s: float) -> Sequence[ListedHost]:
+    async def fetch_host_list(self, member: Member, timeout_s: float) -> Sequence[ListedHost]:
         """Return the host list as another node knows it.
 
         :raises PeerUnavailableError: when it gives no answer.
--- a/samphirecleat/peers/_messages.py
+++ b/samphirecleat/peers/_messages.py
@@ -17,9 +17,9 @@
 
     PING = 1
     ACK = 2
-    ASK = 3
-    NEWS = 4
-    GONE = 5
+    PING_REQ = 3
+    UPDATE = 4
+    EXIT = 5
 
 
 class MemberRow(NamedTuple):
@@ -33,12 +33,12 @@
     """That a process gives no sign of life.
 
     ``silent_for_ms`` is the time since the first probe that it left unanswered.
-    ``own_word`` is set when the process itself said that it ends.
+    ``self_reported`` is set when the process itself said that it ends.
     """
 
     incarnation: str
     silent_for_ms: int
-    own_word: bool
+    self_reported: bool
 
 
 class TargetRow(NamedTuple):
@@ -71,7 +71,7 @@
     report_age_ms: int
 
 
-class ListedChange(NamedTuple):
+class HostListChange(NamedTuple):
     """A row of the host list that changed, read ``age_ms`` ago."""
 
     address: str
@@ -85,11 +85,11 @@
 class CrashRow(NamedTuple):
     """That a run of a call ended with its target, and when.
 
-    ``mark`` stands for the call, ``target`` for one start of a target, and ``node`` saw the end.
-    Without a ``target`` the call was answered; without a ``mark`` the target ended by itself.
+    ``digest`` stands for the call, ``target`` for one start of a target, and ``node`` saw the end.
+    Without a ``target`` the call was answered; without a ``digest`` the target ended by itself.
     """
 
-    mark: bytes
+    digest: bytes
     target: str
     node: str
     begun_age_ms: int
@@ -99,20 +99,20 @@
 class Message(NamedTuple):
     """One datagram; the first of ``rows`` is the sender's own.
 
-    ``nonce`` ties an ACK to the PING that it answers. ``target`` is the peer
-    address that an ASK wants probed. ``known`` is how many live members the
+    ``nonce`` ties an ACK to the PING that it answers. ``probe_address`` is the
+    peer address that a PING_REQ wants probed. ``known_member_count`` is how many live members the
     sender knows, so that one who knows few is told of more.
     """
 
     kind: MessageKind
     nonce: int
-    target: str
-    known: int
+    probe_address: str
+    known_member_count: int
     rows: Sequence[MemberRow]
     deaths: Sequence[Death] = ()
     targets: Sequence[TargetRow] = ()
     loads: Sequence[TargetLoad] = ()
-    listed: Sequence[ListedChange] = ()
+    host_list_changes: Sequence[HostListChange] = ()
     crashes: Sequence[CrashRow] = ()
 
 
--- a/tests/controllers/membership/test_membership.py
+++ b/tests/controllers/membership/test_membership.py
@@ -271,7 +271,9 @@
 
 def ping(incarnation: str = "n9-a") -> Message:
     rows = [MemberRow(make_member("n9", incarnation), 0)]
-    return Message(MessageKind.PING, 7, "", 1, rows, [Death("n1-a", 0, own_word=True)], [], [], [])
+    return Message(
+        MessageKind.PING, 7, "", 1, rows, [Death("n1-a", 0, self_reported=True)], [], [], []
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/crashes/test_news.py
+++ b/tests/crashes/test_news.py
@@ -65,7 +65,7 @@
         node.observe_crash(CALL, target, 0.2, 0.3)
     message = node.gossip.add_updates(EMPTY, 1.0)
     assert len(message.crashes) == ROWS_PER_MESSAGE
-    assert [row.mark for row in message.crashes[:2]] == [CALL, CALL]
+    assert [row.digest for row in message.crashes[:2]] == [CALL, CALL]
     assert len(HeartbeatCodec("key").pack(message)) < 600
 
 
