--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -187,7 +187,7 @@
     ) -> None:
         """Report a cut connection to the crash guard: the target may have crashed."""
         failure, guard = error.failure, self._guard_of(call)
-        if guard is not None and isinstance(failure, Lost) and failure.cut:
+        if guard is not None and isinstance(failure, Lost) and failure.connection_closed:
             mark, start = mark_of(call), start_of(target)
             await guard.record_cut(call.request_id, mark, start, started_at_s, failure.detail)
 
--- a/samphirecleat/platform/_call_exchange.py
+++ b/samphirecleat/platform/_call_exchange.py
@@ -8,7 +8,7 @@
 
 from ..errors import Ran
 from ..serving import Call, Target, TargetAnswer, TargetFault
-from ..targets import is_cut
+from ..targets import is_connection_closed
 from ._answers import ANSWER_FAULTS
 from ._target_sessions import TargetSessions
 from ._wire_names import (
@@ -73,7 +73,7 @@
     return TargetFault(
         f"{target.instance}: {error!r}",
         Ran.NO if never_sent else Ran.UNKNOWN,
-        cut=not never_sent and is_cut(error),
+        cut=not never_sent and is_connection_closed(error),
     )
 
 
--- a/samphirecleat/platform/_generation_stream.py
+++ b/samphirecleat/platform/_generation_stream.py
@@ -7,7 +7,7 @@
 
 from ..durable import GenerationCall, GenerationEnd, GenerationError, Piece
 from ..serving import Target
-from ..targets import is_cut
+from ..targets import is_connection_closed
 from ._answers import ANSWER_FAULTS
 from ._call_exchange import MISDIRECTED, target_url
 from ._event_stream import NO_VERSION, EventFormatError, event_blocks, read_event
@@ -69,7 +69,7 @@
         except aiohttp.ClientConnectorError as error:
             raise GenerationError(repr(error), GenerationEnd.BROKEN) from error
         except ANSWER_FAULTS as error:
-            cut = is_cut(error)
+            cut = is_connection_closed(error)
             raise GenerationError(repr(error), GenerationEnd.BROKEN, cut=cut) from error
 
 
--- a/samphirecleat/platform/_target_sessions.py
+++ b/samphirecleat/platform/_target_sessions.py
@@ -9,7 +9,7 @@
 
 from ..observe import Observer
 from ..serving import Target
-from ..targets import make_connector, make_strict
+from ..targets import make_connector, use_strict_handler
 
 # How long a connection may idle before the target has said how long it keeps one.
 FIRST_IDLE_S: Final = 4.0
@@ -76,7 +76,7 @@
     def _open(self, service: str) -> aiohttp.ClientSession:
         idle_s = self.idle_s(service)
         pool = make_connector(SILENT_AFTER_S, keepalive_timeout_s=idle_s)
-        connector = make_strict(pool, partial(self._count, service))
+        connector = use_strict_handler(pool, partial(self._count, service))
         session = aiohttp.ClientSession(
             connector=connector,
             skip_auto_headers=_NO_HEADERS,
--- a/samphirecleat/targets/__init__.py
+++ b/samphirecleat/targets/__init__.py
@@ -3,12 +3,12 @@
 from typing import TYPE_CHECKING
 
 from .._lazy_exports import lazy_exports
+from ._connection_errors import is_connection_closed
 from ._connector import make_connector
-from ._cut import is_cut
 from ._errors import Failed, Lost, NotSent, Refused, TargetError, TargetFailure
 from ._listening import is_listening
 from ._orders import OrderFenced, OrderOutcome, OrderRefused, OrderTaken, OrderUnknown
-from ._strict_connection import make_strict
+from ._strict_connection import use_strict_handler
 
 if TYPE_CHECKING:
     from ._client import TargetClient
@@ -26,10 +26,10 @@
     "TargetClient",
     "TargetError",
     "TargetFailure",
-    "is_cut",
+    "is_connection_closed",
     "is_listening",
     "make_connector",
-    "make_strict",
+    "use_strict_handler",
 ]
 
 # The client speaks the product's own interface; the connections serve others too.
--- a/samphirecleat/targets/_client.py
+++ b/samphirecleat/targets/_client.py
@@ -20,7 +20,7 @@
     RunState,
     SilentConnectionError,
 )
-from ._cut import is_cut
+from ._connection_errors import is_connection_closed
 from ._errors import Failed, Lost, NotSent, Refused, TargetError
 from ._generation import GenerationReader, generate_body
 from ._orders import OrderFenced, OrderOutcome, OrderRefused, OrderTaken, OrderUnknown
@@ -88,7 +88,9 @@
             raise TargetError(Lost(f"silent connection: {error}")) from error
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             # The request may have left before the connection failed.
-            raise TargetError(Lost(str(error) or type(error).__name__, is_cut(error))) from error
+            raise TargetError(
+                Lost(str(error) or type(error).__name__, is_connection_closed(error))
+            ) from error
 
     async def _generate(
         self, service: Service, target: TargetView, call: Call, timeout: aiohttp.ClientTimeout
--- a/samphirecleat/targets/_cut.py
+++ b/samphirecleat/targets/_connection_errors.py
@@ -5,7 +5,7 @@
 import aiohttp
 
 
-def is_cut(error: Exception) -> bool:
+def is_connection_closed(error: Exception) -> bool:
     """Whether the other end closed or reset the connection, rather than fell silent."""
     match error:
         case TimeoutError():
--- a/samphirecleat/targets/_errors.py
+++ b/samphirecleat/targets/_errors.py
@@ -25,11 +25,12 @@
 class Lost:
     """The request was sent and its outcome is not known.
 
-    ``cut`` says that the target's end of the connection went away before the answer was whole.
+    ``connection_closed`` is set if the target closed or reset the connection before the
+    response was complete.
     """
 
     detail: str
-    cut: bool = False
+    connection_closed: bool = False
 
 
 @dataclass(frozen=True)
--- a/samphirecleat/targets/_generation.py
+++ b/samphirecleat/targets/_generation.py
@@ -36,7 +36,7 @@
             stream that ends too early, and for one from which tokens are missing.
         """
         if not raw.endswith(b"\n"):
-            raise TargetError(Lost("the stream ended before its last line", cut=True))
+            raise TargetError(Lost("the stream ended before its last line", connection_closed=True))
         try:
             return self._read(json.loads(raw))
         except (ValueError, KeyError, TypeError, RecursionError) as error:
--- a/samphirecleat/targets/_strict_connection.py
+++ b/samphirecleat/targets/_strict_connection.py
@@ -26,17 +26,17 @@
         super().connection_lost(exc)
 
 
-def make_strict(
-    connector: aiohttp.TCPConnector, on_made: Callable[[], None] = _do_nothing
+def use_strict_handler(
+    connector: aiohttp.TCPConnector, on_connection_made: Callable[[], None] = _do_nothing
 ) -> aiohttp.TCPConnector:
-    """Have a connector make strict connections, and tell ``on_made`` of each.
+    """Have a connector make strict connections, and tell ``on_connection_made`` of each.
 
     The library has no parameter for either.
     """
     loop = asyncio.get_running_loop()
 
     def make() -> StrictResponseHandler:
-        on_made()
+        on_connection_made()
         return StrictResponseHandler(loop=loop)
 
     connector._factory = make  # type: ignore[assignment]
--- a/tests/targets/test_strict_connection.py
+++ b/tests/targets/test_strict_connection.py
@@ -7,7 +7,7 @@
 import aiohttp
 import pytest
 
-from samphirecleat.targets import make_connector, make_strict
+from samphirecleat.targets import make_connector, use_strict_handler
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Any: 1\r\n\r\n"
 
@@ -28,7 +28,7 @@
 
     server = await asyncio.start_server(answer, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    connector = make_strict(make_connector(1.0))
+    connector = use_strict_handler(make_connector(1.0))
     async with (
         server,
         aiohttp.ClientSession(connector=connector) as session,
