--- a/samphirecleat/entry/__init__.py
+++ b/samphirecleat/entry/__init__.py
@@ -1,9 +1,15 @@
 """What callers, trainers and operators meet over HTTP."""
 
 from ._app import build_app
-from ._callers import CallerEntry
+from ._callers import CallerHandlers
 from ._node_report import build_node_report
-from ._operators import OperatorEntry
-from ._trainers import TrainerEntry
+from ._operators import OperatorHandlers
+from ._trainers import TrainerHandlers
 
-__all__ = ["CallerEntry", "OperatorEntry", "TrainerEntry", "build_app", "build_node_report"]
+__all__ = [
+    "CallerHandlers",
+    "OperatorHandlers",
+    "TrainerHandlers",
+    "build_app",
+    "build_node_report",
+]
--- a/samphirecleat/entry/_app.py
+++ b/samphirecleat/entry/_app.py
@@ -8,17 +8,17 @@
 from ..blackboard import Blackboard
 from ..errors import ErrorKind, RequestError
 from ..observe import Observer
-from ._callers import CallerEntry
-from ._operators import OperatorEntry
-from ._trainers import TrainerEntry
+from ._callers import CallerHandlers
+from ._operators import OperatorHandlers
+from ._trainers import TrainerHandlers
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 def build_app(
-    callers: CallerEntry,
-    trainers: TrainerEntry,
-    operators: OperatorEntry,
+    callers: CallerHandlers,
+    trainers: TrainerHandlers,
+    operators: OperatorHandlers,
     board: Blackboard,
     observer: Observer,
     *,
--- a/samphirecleat/entry/_callers.py
+++ b/samphirecleat/entry/_callers.py
@@ -51,7 +51,7 @@
     lines: AsyncGenerator[AnswerLine, None]
 
 
-class CallerEntry:
+class CallerHandlers:
     """Takes callers' requests, binds their keys, and returns their answers."""
 
     def __init__(
--- a/samphirecleat/entry/_operators.py
+++ b/samphirecleat/entry/_operators.py
@@ -15,7 +15,7 @@
 ASKED_AT_ONCE: Final = 32
 
 
-class OperatorEntry:
+class OperatorHandlers:
     """Answers operators from this node and, for the fleet, from all others.
 
     Nodes are asked at the moment of the question and nothing is sent around
--- a/samphirecleat/entry/_trainers.py
+++ b/samphirecleat/entry/_trainers.py
@@ -16,7 +16,7 @@
 MAX_PULLED_SAMPLES: Final = 512
 
 
-class TrainerEntry:
+class TrainerHandlers:
     """Takes trainers' steps and answers their pulls."""
 
     def __init__(self, board: Blackboard, registry: StepRegistry) -> None:
--- a/samphirecleat/node.py
+++ b/samphirecleat/node.py
@@ -20,7 +20,7 @@
 from .controllers.targets import TargetWatch
 from .controllers.weights import LeaseManager, WeightCoordinator
 from .crashes import CrashGossip, CrashGuard, CrashLedger, NullEvidenceRecorder
-from .entry import CallerEntry, OperatorEntry, TrainerEntry, build_app, build_node_report
+from .entry import CallerHandlers, OperatorHandlers, TrainerHandlers, build_app, build_node_report
 from .observe import Observer
 from .peers import HeartbeatCodec, PeerClient, PeerServer
 from .platform import HttpHostList, HttpLog, HttpWeightStore
@@ -209,7 +209,7 @@
             self._rng,
             self._policies.swaps,
         )
-        self.callers = CallerEntry(
+        self.callers = CallerHandlers(
             board, self.key_book, store, self.dispatcher, self.peers, self.observer, timings
         )
 
@@ -237,8 +237,8 @@
         settings = self.settings
         app = build_app(
             self.callers,
-            TrainerEntry(self.board, self.steps),
-            OperatorEntry(self.board, self.peers, self.observer, self.own_report),
+            TrainerHandlers(self.board, self.steps),
+            OperatorHandlers(self.board, self.peers, self.observer, self.own_report),
             self.board,
             self.observer,
             max_body_bytes=settings.bounds.body_bytes,
