--- a/samphirecleat/entry/__init__.py
+++ b/samphirecleat/entry/__init__.py
@@ -1,4 +1,4 @@
-"""What callers, trainers and operators meet over HTTP."""
+"""HTTP handlers for the requests of callers, trainers and operators."""
 
 from ._app import build_app
 from ._callers import CallerHandlers
--- a/samphirecleat/entry/_app.py
+++ b/samphirecleat/entry/_app.py
@@ -1,4 +1,4 @@
-"""The HTTP application of a node and its one place that turns errors into answers."""
+"""The HTTP application of a node, and the middleware that turns errors into responses."""
 
 import math
 from collections.abc import Awaitable, Callable
@@ -24,17 +24,20 @@
     *,
     max_body_bytes: int,
 ) -> web.Application:
-    """Return the application with all routes."""
+    """Return the application with all routes and the error middleware.
+
+    Request bodies are limited to ``max_body_bytes``.
+    """
 
     @web.middleware
-    async def answer_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
+    async def handle_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
         try:
             return await handler(request)
         except RequestError as error:
             board.refusals[error.kind.value] += 1
             return _error_response(error)
         except web.HTTPException as error:
-            # No route matched, or the request is no valid HTTP.
+            # No route matched, or the request is not valid HTTP.
             kind = ErrorKind.UNKNOWN_METHOD if error.status == 404 else ErrorKind.MALFORMED
             board.refusals[kind.value] += 1
             return _error_response(RequestError(kind, f"{request.path}: {error.reason}"))
@@ -42,11 +45,11 @@
             observer.counters["callers_gone"] += 1
             raise
         except Exception as error:
-            observer.log("entry").exception("Request failed.")
+            observer.log("entry").exception("unhandled exception in a request handler")
             board.refusals[ErrorKind.INTERNAL.value] += 1
             return _error_response(RequestError(ErrorKind.INTERNAL, repr(error)))
 
-    app = web.Application(client_max_size=max_body_bytes, middlewares=[answer_errors])
+    app = web.Application(client_max_size=max_body_bytes, middlewares=[handle_errors])
     callers.add_routes(app.router)
     trainers.add_routes(app.router)
     operators.add_routes(app.router)
--- a/samphirecleat/entry/_call_headers.py
+++ b/samphirecleat/entry/_call_headers.py
@@ -1,4 +1,4 @@
-"""Reads a caller's request from its headers and body."""
+"""Parses and validates the headers and the body of a caller's request."""
 
 import asyncio
 import json
@@ -15,15 +15,15 @@
 DEADLINE_HEADER: Final = "x-deadline-ms"
 PRIORITY_HEADER: Final = "x-priority"
 IDEMPOTENT_HEADER: Final = "x-idempotent"
-KEY_HEADER: Final = "x-request-key"
+REQUEST_KEY_HEADER: Final = "x-request-key"
 TRACE_HEADER: Final = "traceparent"
 DEFAULT_DEADLINE_S: Final = 30.0
-HIGHEST_PRIORITY: Final = 9
-MOST_TOKENS: Final = 1_000_000
+MAX_PRIORITY: Final = 9
+MAX_TOKENS_LIMIT: Final = 1_000_000
 
 
 class CallHeaders(NamedTuple):
-    """What a caller says beside the body; ``deadline_in_s`` counts from arrival."""
+    """The options of a request; ``deadline_in_s`` counts from the arrival of the request."""
 
     deadline_in_s: float
     priority: int
@@ -32,7 +32,7 @@
 
 
 def read_headers(headers: Mapping[str, str], max_deadline_s: float) -> CallHeaders:
-    """Return the typed headers of a request.
+    """Parse the headers of a request; the deadline is at most ``max_deadline_s``.
 
     :raises samphirecleat.errors.RequestError: MALFORMED or DEADLINE_PASSED.
     """
@@ -50,7 +50,7 @@
     """Return the JSON object in a request's body.
 
     :raises samphirecleat.errors.RequestError: MALFORMED, BODY_TOO_LARGE, or
-        DEADLINE_EXCEEDED, not run, when the body has not come in ``timeout_s``.
+        DEADLINE_EXCEEDED with ``Ran.NO`` if the body does not arrive within ``timeout_s``.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -59,40 +59,42 @@
         raise RequestError(ErrorKind.BODY_TOO_LARGE, str(error.text)) from error
     except TimeoutError as error:
         raise RequestError(
-            ErrorKind.DEADLINE_EXCEEDED, "the body did not come in time", ran=Ran.NO
+            ErrorKind.DEADLINE_EXCEEDED, "the request body did not arrive in time", ran=Ran.NO
         ) from error
     return parse_body(raw)
 
 
 def parse_body(raw: bytes) -> Mapping[str, Any]:
-    """Return the JSON object that ``raw`` holds.
+    """Return the JSON object encoded in ``raw``.
 
     :raises samphirecleat.errors.RequestError: MALFORMED.
     """
     try:
         body = json.loads(raw)
     except (ValueError, RecursionError) as error:
-        raise RequestError(ErrorKind.MALFORMED, f"the body is no JSON: {error}") from error
+        raise RequestError(
+            ErrorKind.MALFORMED, f"the request body is not valid JSON: {error}"
+        ) from error
     if not isinstance(body, dict):
-        raise RequestError(ErrorKind.MALFORMED, "the body must be a JSON object")
+        raise RequestError(ErrorKind.MALFORMED, "the request body must be a JSON object")
     if not isinstance(body.get("stream", False), bool):
         raise RequestError(ErrorKind.MALFORMED, '"stream" must be true or false')
     return body
 
 
 def check_call_body(kind: ServiceKind, body: Mapping[str, Any]) -> None:
-    """Check what the node itself reads of a call's body.
+    """Check the fields of a call's body that the node itself uses.
 
     :raises samphirecleat.errors.RequestError: MALFORMED.
     """
     if kind is not ServiceKind.ENGINE:
         return
     if not isinstance(body.get("prompt"), str):
-        raise RequestError(ErrorKind.MALFORMED, '"prompt" must be a text')
+        raise RequestError(ErrorKind.MALFORMED, '"prompt" must be a string')
     max_tokens = body.get("max_tokens", 1)
-    if type(max_tokens) is not int or not 1 <= max_tokens <= MOST_TOKENS:
+    if type(max_tokens) is not int or not 1 <= max_tokens <= MAX_TOKENS_LIMIT:
         raise RequestError(
-            ErrorKind.MALFORMED, f'"max_tokens" must be a whole number, 1 to {MOST_TOKENS}'
+            ErrorKind.MALFORMED, f'"max_tokens" must be an integer from 1 to {MAX_TOKENS_LIMIT}'
         )
 
 
@@ -104,12 +106,17 @@
         deadline_s = float(text) / 1000.0
     except ValueError as error:
         raise RequestError(
-            ErrorKind.MALFORMED, f"{DEADLINE_HEADER} must be milliseconds from now"
+            ErrorKind.MALFORMED, f"{DEADLINE_HEADER} must be a number of milliseconds from now"
         ) from error
     if math.isnan(deadline_s):
-        raise RequestError(ErrorKind.MALFORMED, f"{DEADLINE_HEADER} must be milliseconds from now")
+        raise RequestError(
+            ErrorKind.MALFORMED, f"{DEADLINE_HEADER} must be a number of milliseconds from now"
+        )
     if deadline_s <= 0.0:
-        raise RequestError(ErrorKind.DEADLINE_PASSED, f"{DEADLINE_HEADER} is {text}")
+        raise RequestError(
+            ErrorKind.DEADLINE_PASSED,
+            f"the deadline has already passed: {DEADLINE_HEADER} is {text}",
+        )
     return deadline_s
 
 
@@ -117,7 +124,7 @@
     text = headers.get(PRIORITY_HEADER, "5")
     if not re.fullmatch(r"[0-9]", text):
         raise RequestError(
-            ErrorKind.MALFORMED, f"{PRIORITY_HEADER} must be 0 to {HIGHEST_PRIORITY}"
+            ErrorKind.MALFORMED, f"{PRIORITY_HEADER} must be an integer from 0 to {MAX_PRIORITY}"
         )
     return int(text)
 
--- a/samphirecleat/entry/_callers.py
+++ b/samphirecleat/entry/_callers.py
@@ -1,4 +1,4 @@
-"""What callers meet: the entry list, and requests to services."""
+"""HTTP handlers for callers: the entry list, and requests to services."""
 
 import asyncio
 import secrets
@@ -30,29 +30,33 @@
     parse_key,
 )
 from ..settings import Timings
-from ._answers import send_lines, send_whole
 from ._call_headers import (
-    KEY_HEADER,
+    REQUEST_KEY_HEADER,
     CallHeaders,
     check_call_body,
     parse_body,
     read_body,
     read_headers,
 )
+from ._responses import send_json_response, stream_response
 
-READER_SLACK_S: Final = 0.25
-"""The run ends at its own deadline; a reader that waits for it is told a little later."""
+ANSWER_READ_SLACK_S: Final = 0.25
+"""A run ends at its deadline with its own error; readers wait this much longer to get it."""
 
 
-class _Accepted(NamedTuple):
-    """A call that was taken in, and the lines of its answer."""
+class _AcceptedCall(NamedTuple):
+    """An accepted call and the lines of its answer."""
 
     call: Call
     lines: AsyncGenerator[AnswerLine, None]
 
 
 class CallerHandlers:
-    """Takes callers' requests, binds their keys, and returns their answers."""
+    """Accepts callers' requests, binds their request keys, and returns the answers.
+
+    A request key makes retries safe: only the process that a key names may start the
+    request, and it starts it at most once.
+    """
 
     def __init__(
         self,
@@ -64,7 +68,7 @@
         observer: Observer,
         timings: Timings,
     ) -> None:
-        """Wire the parts that a request passes through."""
+        """Create handlers that run calls on ``dispatcher`` or forward them to ``peers``."""
         self._board = board
         self._key_book = key_book
         self._store = store
@@ -77,7 +81,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that are read or answered, and runs, also those nobody reads now."""
+        """The number of open requests plus active runs, including runs without a reader."""
         return self._handlers + len(self._runs)
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
@@ -87,7 +91,7 @@
         router.add_get("/v1/requests/{key}", self.status)
 
     async def entries(self, _request: web.Request) -> web.Response:
-        """Return the nodes to use; one that leaves or holds no text is not among them."""
+        """Return the entry list: the nodes that are alive, ready and not leaving."""
         now_s = asyncio.get_running_loop().time()
         rows = [
             {
@@ -104,12 +108,12 @@
         return web.json_response({"ttl_s": self._timings.entry_ttl_s, "entries": rows})
 
     async def status(self, request: web.Request) -> web.Response:
-        """Tell how far a key is, for a client whose connection went quiet."""
+        """Return the progress of a key, for a client whose connection has gone silent."""
         status = self.status_of(request.match_info["key"])
         return web.json_response({"state": status.state.value, "progress": status.progress})
 
     def status_of(self, key_text: str) -> RequestStatus:
-        """Return how far a key is; WAITING for one that another process owns.
+        """Return the progress of a key; WAITING if another process owns it.
 
         :raises samphirecleat.errors.RequestError: KEY_MALFORMED.
         """
@@ -119,7 +123,7 @@
         return self._key_book.status(key, _now_s())
 
     async def call(self, request: web.Request) -> web.StreamResponse:
-        """Run one request and return its answer, whole or as lines."""
+        """Run one request and return its answer as one JSON object or as a stream."""
         self._handlers += 1
         started_at_s = _now_s()
         try:
@@ -129,32 +133,36 @@
             self._observer.record_s("request", _now_s() - started_at_s)
 
     async def _call(self, request: web.Request) -> web.StreamResponse:
-        key = _read_key(request.headers.get(KEY_HEADER, ""))
+        key = _parse_optional_key(request.headers.get(REQUEST_KEY_HEADER, ""))
         try:
-            headers, body = await self._read(request)
+            headers, body = await self._read_request(request)
             with self._observer.span("entry", headers.traceparent) as traceparent:
                 headers = headers._replace(traceparent=traceparent)
                 accepted = self._accept(
                     request.match_info["service"], request.match_info["method"], body, headers, key
                 )
         except RequestError as error:
-            raise self._settle(error, key) from error
+            raise self._refuse_key(error, key) from error
         if body.get("stream", False):
-            return await send_lines(request, *accepted, self._count_error)
-        return await send_whole(*accepted)
+            return await stream_response(request, *accepted, self._count_error)
+        return await send_json_response(*accepted)
 
     def _count_error(self, error: RequestError) -> None:
         self._board.refusals[error.kind.value] += 1
 
-    async def _read(self, request: web.Request) -> tuple[CallHeaders, Mapping[str, Any]]:
+    async def _read_request(self, request: web.Request) -> tuple[CallHeaders, Mapping[str, Any]]:
         headers = read_headers(request.headers, self._timings.max_deadline_s)
         return headers, await read_body(request, headers.deadline_in_s)
 
     async def serve_forwarded(self, request: ForwardRequest) -> AsyncGenerator[AnswerLine, None]:
-        """Run a call that another node forwarded; this node must own its key."""
+        """Run a call that another node forwarded; this process must own its key.
+
+        :raises samphirecleat.errors.RequestError: KEY_OWNER_GONE if another process
+            owns the key, or the error of the call.
+        """
         key = parse_key(request.key)
         if not self._key_book.owns(key):
-            raise _owner_gone(key)
+            raise _owner_gone_error(key)
         headers = CallHeaders(
             request.deadline_in_s, request.priority, request.idempotent, request.traceparent
         )
@@ -164,18 +172,18 @@
                 body = parse_body(request.body)
                 accepted = self._accept(request.service, request.method, body, headers, key)
             except RequestError as error:
-                raise self._settle(error, key) from error
+                raise self._refuse_key(error, key) from error
             async with aclosing(accepted.lines) as lines:
                 async for line in lines:
                     yield line
         finally:
             self._handlers -= 1
 
-    def _settle(self, error: RequestError, key: RequestKey | None) -> RequestError:
-        """Let a refusal of a keyed request say "not run" only if that stays true.
+    def _refuse_key(self, error: RequestError, key: RequestKey | None) -> RequestError:
+        """Return the error with "not run" only if the key can never run after it.
 
-        Another copy of the same request may have run before, or may still be on
-        its way here: the key's owner alone can tell, and can keep it from running.
+        Another copy of the same request may have run before, or may arrive later. Only
+        the key's owner knows, and it can record the refusal to prevent a later run.
         """
         if key is not None and error.ran is Ran.NO:
             error.ran = self._key_book.refuse(key, _now_s())
@@ -188,19 +196,19 @@
         body: Mapping[str, Any],
         headers: CallHeaders,
         key: RequestKey | None,
-    ) -> _Accepted:
+    ) -> _AcceptedCall:
         call = self._make_call(service, method, body, headers, key)
         if key is None:
-            return _Accepted(call, self._run_without_key(call))
+            return _AcceptedCall(call, self._run_unkeyed(call))
         match self._key_book.bind(key, call.body, _now_s()):
             case StartHere(answer=answer):
                 self._start(call, answer)
-                return _Accepted(call, answer.read(call.deadline_at_s + READER_SLACK_S))
+                return _AcceptedCall(call, answer.read(call.deadline_at_s + ANSWER_READ_SLACK_S))
             case JoinHere(answer=answer):
                 self._observer.counters["keys_joined"] += 1
-                return _Accepted(call, answer.read(call.deadline_at_s + READER_SLACK_S))
+                return _AcceptedCall(call, answer.read(call.deadline_at_s + ANSWER_READ_SLACK_S))
             case ForwardTo():
-                return _Accepted(call, self._forward(call, key))
+                return _AcceptedCall(call, self._forward(call, key))
 
     def _make_call(
         self,
@@ -211,7 +219,7 @@
         key: RequestKey | None,
     ) -> Call:
         if self._board.config.revision < 0:
-            raise RequestError(ErrorKind.NOT_READY, "this node holds no service text yet")
+            raise RequestError(ErrorKind.NOT_READY, "this node has no configuration yet")
         service = self._board.service(service_name)
         if service is None:
             raise RequestError(ErrorKind.UNKNOWN_SERVICE, f'no service "{service_name}"')
@@ -219,7 +227,8 @@
         if method is None:
             known = ", ".join(sorted(service.methods))
             raise RequestError(
-                ErrorKind.UNKNOWN_METHOD, f'"{service_name}" has no "{method_name}", only {known}'
+                ErrorKind.UNKNOWN_METHOD,
+                f'service "{service_name}" has no method "{method_name}"; it has {known}',
             )
         check_call_body(service.kind, body)
         return Call(
@@ -229,39 +238,46 @@
             deadline_at_s=_now_s() + min(headers.deadline_in_s, method.max_s),
             priority=headers.priority,
             idempotent=method.idempotent and headers.idempotent,
-            request_id=str(key) if key is not None else self._own_request_id(),
+            request_id=str(key) if key is not None else self._generate_request_id(),
             work_class=WorkClass.CALLER,
             traceparent=headers.traceparent,
         )
 
-    def _own_request_id(self) -> str:
+    def _generate_request_id(self) -> str:
         identity = self._board.identity
         return f"{identity.node_id}.{identity.incarnation}.unkeyed.{secrets.token_hex(8)}"
 
     def _start(self, call: Call, answer: AnswerLog) -> Callable[[], object]:
-        """Start a run that goes on whoever reads it; return what cancels it.
+        """Start a run that continues without a reader; return a function that cancels it.
 
-        A node near the end of its drain starts nothing more. It closes the key with
-        that refusal, so that "not run" stays true whoever asks again.
+        Near the end of its drain a node starts no more runs. It closes the key's answer
+        with a LEAVING error, so that "not run" stays true for every later retry.
         """
         if not self._board.accepting:
-            answer.close(RequestError(ErrorKind.LEAVING, "this node leaves; ask another"))
+            answer.close(
+                RequestError(
+                    ErrorKind.LEAVING, "this node is leaving; send the request to another node"
+                )
+            )
             return answer.close
         task = asyncio.get_running_loop().create_task(self._dispatcher.run(call, answer))
         self._runs.add(task)
         task.add_done_callback(self._runs.discard)
         return task.cancel
 
-    async def _run_without_key(self, call: Call) -> AsyncGenerator[AnswerLine, None]:
-        """Run a call that nobody can ask for again, so that it ends with its reader."""
+    async def _run_unkeyed(self, call: Call) -> AsyncGenerator[AnswerLine, None]:
+        """Run a call without a key; it is cancelled when its reader stops.
+
+        Without a key no retry can ever ask for the answer.
+        """
         if not self._store.has_room:
             raise RequestError(
-                ErrorKind.OVERLOADED, "this node holds as many answers as it may", retry_after_s=1.0
+                ErrorKind.OVERLOADED, "the answer store of this node is full", retry_after_s=1.0
             )
         answer = self._store.open()
         cancel = self._start(call, answer)
         try:
-            async with aclosing(answer.read(call.deadline_at_s + READER_SLACK_S)) as lines:
+            async with aclosing(answer.read(call.deadline_at_s + ANSWER_READ_SLACK_S)) as lines:
                 async for line in lines:
                     yield line
         finally:
@@ -272,28 +288,28 @@
     def _forward(self, call: Call, key: RequestKey) -> AsyncGenerator[AnswerLine, None]:
         view = self._board.members.get(key.node_id)
         if view is None or view.member.incarnation != key.incarnation:
-            # Only the named incarnation knows whether it started the request,
-            # and it is gone: starting it here could run it a second time.
-            raise _owner_gone(key)
+            # Only that incarnation knows whether it started the request, and it no longer
+            # exists. Starting the request here could run it a second time.
+            raise _owner_gone_error(key)
         self._observer.counters["forwarded"] += 1
         return self._peers.forward(view.member, call, _now_s())
 
     async def close(self) -> None:
-        """Cancel what still runs."""
+        """Cancel the active runs and wait until they have ended."""
         for task in list(self._runs):
             task.cancel()
         await asyncio.gather(*self._runs, return_exceptions=True)
 
 
-def _read_key(text: str) -> RequestKey | None:
+def _parse_optional_key(text: str) -> RequestKey | None:
     return parse_key(text) if text else None
 
 
-def _owner_gone(key: RequestKey) -> RequestError:
-    """Say that this copy of the request was passed on to nobody and starts nowhere."""
+def _owner_gone_error(key: RequestKey) -> RequestError:
+    """Return the error for a key of another process, to which nothing was forwarded."""
     return RequestError(
         ErrorKind.KEY_OWNER_GONE,
-        f"the process {key.node_id}.{key.incarnation} that the key names is gone",
+        f"the process {key.node_id}.{key.incarnation}, which owns the key, no longer exists",
     )
 
 
--- a/samphirecleat/entry/_node_report.py
+++ b/samphirecleat/entry/_node_report.py
@@ -9,7 +9,7 @@
 from ..controllers.weights import WeightCoordinator
 from ..observe import Observer
 
-SMALL_FLEET: Final = 16
+MAX_NODES_FOR_FULL_REPORTS: Final = 16
 
 
 def build_node_report(
@@ -20,7 +20,7 @@
     watch: TargetWatch,
     now_s: float,
 ) -> Mapping[str, Any]:
-    """Return what a node tells operators of itself, ready to be sent as JSON."""
+    """Return the JSON-serializable report of one node for operators."""
     return {
         "incarnation": board.identity.incarnation,
         "zone": board.identity.zone,
@@ -30,24 +30,25 @@
         "targets": {a: board.targets[a]._asdict() for a in _reported_targets(board, watch)},
         "metrics": observer.metrics()._asdict(),
         "refusals": dict(board.refusals),
-        "steps": _steps(registry),
+        "steps": _report_steps(registry),
         "trainers": registry.trainers_report(now_s),
         "weights": weights.report(),
     }
 
 
 def _reported_targets(board: Blackboard, watch: TargetWatch) -> Collection[str]:
-    """Return the targets in this node's part of the report.
+    """Return the addresses of the targets in this node's part of the report.
 
-    A small fleet shows what every node knows of every target. In a large one
-    that would be hundreds of megabytes, so each node shows those it asks itself.
+    In a fleet of at most :data:`MAX_NODES_FOR_FULL_REPORTS` nodes, each node reports all
+    targets that it knows. In a larger one that would add up to hundreds of megabytes, so
+    each node reports only the targets that it polls itself.
     """
-    if len(board.live_members()) <= SMALL_FLEET:
+    if len(board.live_members()) <= MAX_NODES_FOR_FULL_REPORTS:
         return list(board.targets)
     return [address for address in watch.owned() if address in board.targets]
 
 
-def _steps(registry: StepRegistry) -> Sequence[Mapping[str, Any]]:
+def _report_steps(registry: StepRegistry) -> Sequence[Mapping[str, Any]]:
     return [
         {
             "trainer": trainer,
--- a/samphirecleat/entry/_operators.py
+++ b/samphirecleat/entry/_operators.py
@@ -1,4 +1,4 @@
-"""What operators meet: the fleet report, traces and metrics."""
+"""HTTP handlers for operators: the fleet report, traces and metrics."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -12,14 +12,14 @@
 from ..peers import PeerClient, PeerUnavailableError
 
 REPORT_TIMEOUT_S: Final = 2.0
-ASKED_AT_ONCE: Final = 32
+MAX_CONCURRENT_FETCHES: Final = 32
 
 
 class OperatorHandlers:
-    """Answers operators from this node and, for the fleet, from all others.
+    """Serves the data of this node and, for the whole fleet, of all other live nodes.
 
-    Nodes are asked at the moment of the question and nothing is sent around
-    beforehand, so that the report costs nothing while nobody reads it.
+    The other nodes' reports are fetched on each request; none are distributed in
+    advance, so the report costs nothing while nobody reads it.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         observer: Observer,
         own_report: Callable[[], Mapping[str, Any]],
     ) -> None:
-        """Take this node's own part of the report from ``own_report``."""
+        """Call ``own_report`` for this node's own part of the report."""
         self._board = board
         self._peers = peers
         self._observer = observer
@@ -42,12 +42,12 @@
         router.add_get("/v1/metrics", self.metrics)
 
     async def report(self, _request: web.Request) -> web.Response:
-        """Return every node's report, asked for now; a silent node is named as such."""
-        nodes = await self._ask_all()
+        """Return the current report of every live node, or why a node is unavailable."""
+        nodes = await self._fetch_reports()
         return web.json_response({"asked": self._board.identity.node_id, "nodes": nodes})
 
     async def traces(self, request: web.Request) -> web.Response:
-        """Return this node's newest spans, of one trace with ``?trace=ID``."""
+        """Return this node's newest spans; with ``?trace=ID``, only those of one trace."""
         return web.json_response({"spans": self._observer.spans(request.query.get("trace", ""))})
 
     async def metrics(self, request: web.Request) -> web.Response:
@@ -57,13 +57,13 @@
                 return web.json_response(_metrics_body(self._observer.metrics()))
             case "fleet":
                 return web.json_response(await self._fleet_metrics())
-        raise RequestError(ErrorKind.MALFORMED, 'scope is "node" or "fleet"')
+        raise RequestError(ErrorKind.MALFORMED, 'scope must be "node" or "fleet"')
 
     async def _fleet_metrics(self) -> Mapping[str, Any]:
-        """Merge what each node answers; nodes that gave nothing usable are named."""
+        """Merge the metrics of all nodes; ``missing`` lists nodes without usable metrics."""
         parts: list[Metrics] = []
         missing: list[str] = []
-        for node_id, report in (await self._ask_all()).items():
+        for node_id, report in (await self._fetch_reports()).items():
             try:
                 part = read_metrics(report.get("metrics", {}))
                 summarize(part)
@@ -74,18 +74,22 @@
         merged = _metrics_body(merge_metrics(parts))
         return {**merged, "merged_from": len(parts), "missing": missing}
 
-    async def _ask_all(self) -> Mapping[str, Mapping[str, Any]]:
+    async def _fetch_reports(self) -> Mapping[str, Mapping[str, Any]]:
         own_id = self._board.identity.node_id
         others = [m for m in self._board.live_members() if m.node_id != own_id]
-        # All at once, the answers of a large fleet would come in one burst.
-        turns = asyncio.Semaphore(ASKED_AT_ONCE)
-        reports = await asyncio.gather(*(self._ask(member, turns) for member in others))
+        # Without a limit, the reports of a large fleet would arrive in one burst.
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_FETCHES)
+        reports = await asyncio.gather(
+            *(self._fetch_report(member, semaphore) for member in others)
+        )
         nodes = {own_id: self._own_report()}
         nodes.update({member.node_id: r for member, r in zip(others, reports, strict=True)})
         return nodes
 
-    async def _ask(self, member: Member, turns: asyncio.Semaphore) -> Mapping[str, Any]:
-        async with turns:
+    async def _fetch_report(
+        self, member: Member, semaphore: asyncio.Semaphore
+    ) -> Mapping[str, Any]:
+        async with semaphore:
             try:
                 return await self._peers.fetch_report(member, REPORT_TIMEOUT_S)
             except PeerUnavailableError as error:
--- a/samphirecleat/entry/_answers.py
+++ b/samphirecleat/entry/_responses.py
@@ -1,4 +1,4 @@
-"""Sends an answer to its caller, whole or as lines, without holding it back."""
+"""Sends an answer to its caller, as one JSON object or as a stream of JSON lines."""
 
 import asyncio
 import json
@@ -14,8 +14,8 @@
 SLOW_READER_GRACE_S: Final = 5.0
 
 
-async def send_whole(call: Call, lines: AsyncGenerator[AnswerLine, None]) -> web.Response:
-    """Send an answer when it is whole."""
+async def send_json_response(call: Call, lines: AsyncGenerator[AnswerLine, None]) -> web.Response:
+    """Collect all lines of an answer and return them joined into one JSON object."""
     collected: list[AnswerLine] = []
     async with aclosing(lines):
         async for line in lines:
@@ -25,30 +25,34 @@
     return web.json_response(answer)
 
 
-async def send_lines(
+async def stream_response(
     request: web.Request,
     call: Call,
     lines: AsyncGenerator[AnswerLine, None],
     on_error: Callable[[RequestError], None],
 ) -> web.StreamResponse:
-    """Send lines as they come; an error after the first one is itself a line.
+    """Send lines as they arrive; an error after the first one is sent as a line.
 
-    A caller who reads too slowly is cut off a little after the deadline. Without
-    that, one who stops reading would keep its answer in memory and this node from
-    ending for as long as it likes.
+    ``on_error`` is called for such an error. The connection of a caller that reads too
+    slowly is aborted :data:`SLOW_READER_GRACE_S` after the deadline. Otherwise a caller
+    that stops reading could keep its answer in memory, and prevent this node from
+    shutting down, for an unlimited time.
+
+    :raises samphirecleat.errors.RequestError: an error before the first line, or
+        DEADLINE_EXCEEDED if the connection was aborted.
     """
     try:
         async with asyncio.timeout_at(call.deadline_at_s + SLOW_READER_GRACE_S):
-            return await _send_lines(request, call, lines, on_error)
+            return await _write_lines(request, call, lines, on_error)
     except TimeoutError as error:
         if request.transport is not None:
             request.transport.abort()
         raise RequestError(
-            ErrorKind.DEADLINE_EXCEEDED, "the answer was not read in time"
+            ErrorKind.DEADLINE_EXCEEDED, "the caller did not read the answer in time"
         ) from error
 
 
-async def _send_lines(
+async def _write_lines(
     request: web.Request,
     call: Call,
     lines: AsyncGenerator[AnswerLine, None],
@@ -65,7 +69,7 @@
         if response is None:
             raise
         on_error(error)
-        # What was sent cannot be taken back, so it can no longer be "not run".
+        # Part of the answer has been sent, so "not run" would no longer be true.
         body = error.body()
         if error.ran is Ran.NO:
             body["ran"] = Ran.UNKNOWN.value
--- a/samphirecleat/entry/_trainers.py
+++ b/samphirecleat/entry/_trainers.py
@@ -1,4 +1,4 @@
-"""What trainers meet: submitting a step and pulling its samples."""
+"""HTTP handlers for trainers: submitting a step and pulling its samples."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, Final
@@ -11,16 +11,16 @@
 from ..steps import NO_VERSION, Pull, StepSpec, decode_positions, reply_to_json
 from ._call_headers import read_body
 
-MAX_STEP_SAMPLES: Final = 8192
-MAX_WAIT_S: Final = 20.0
-MAX_PULLED_SAMPLES: Final = 512
+MAX_SAMPLES_PER_STEP: Final = 8192
+MAX_PULL_WAIT_S: Final = 20.0
+MAX_SAMPLES_PER_PULL: Final = 512
 
 
 class TrainerHandlers:
-    """Takes trainers' steps and answers their pulls."""
+    """Accepts trainers' steps and serves their pulls."""
 
     def __init__(self, board: Blackboard, registry: StepRegistry) -> None:
-        """Hand steps to ``registry``."""
+        """Register steps in ``registry``."""
         self._board = board
         self._registry = registry
 
@@ -30,14 +30,20 @@
         router.add_post("/v1/trainers/{trainer}/steps/{step}/pull", self.pull)
 
     async def submit(self, request: web.Request) -> web.Response:
-        """Take a step; submitting it again is safe."""
+        """Register a step; submitting the same step again is safe.
+
+        :raises samphirecleat.errors.RequestError: LEAVING, NOT_READY, MALFORMED,
+            UNKNOWN_SERVICE, or an error of the registry.
+        """
         if self._board.leaving:
-            raise RequestError(ErrorKind.LEAVING, "submit the step to another node")
+            raise RequestError(
+                ErrorKind.LEAVING, "this node is leaving; submit the step to another node"
+            )
         if not self._board.ready:
-            # A process that replaced one at its old address is asked by clients that
-            # still keep the old entry list. Without a text it knows no service, and
-            # "unknown service" would make the trainer give up a sound step.
-            raise RequestError(ErrorKind.NOT_READY, "this node holds no service text yet")
+            # Clients with an outdated entry list may reach a new process at the address
+            # of an old one. Until it has a configuration it knows no service, and
+            # UNKNOWN_SERVICE would make the trainer give up a valid step.
+            raise RequestError(ErrorKind.NOT_READY, "this node has no configuration yet")
         body = await read_body(request)
         try:
             spec = self._read_spec(request, body)
@@ -45,23 +51,23 @@
             client_id = str(body.get("client", ""))
             version = int(body.get("version", NO_VERSION))
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise RequestError(
-                ErrorKind.MALFORMED, f"the step is not understood: {error!r}"
-            ) from error
+            raise RequestError(ErrorKind.MALFORMED, f"the step is malformed: {error!r}") from error
         self._registry.submit(spec, held, client_id, version)
         return web.json_response({"node": self._board.identity.node_id, "size": spec.size})
 
     async def pull(self, request: web.Request) -> web.Response:
-        """Return samples that the trainer lacks."""
+        """Return samples that the trainer does not hold yet.
+
+        :raises samphirecleat.errors.RequestError: UNKNOWN_STEP, MALFORMED, or an error
+            of the registry.
+        """
         body = await read_body(request)
         trainer, step_id = request.match_info["trainer"], request.match_info["step"]
         spec = self._registry.find(trainer, step_id).spec
         try:
             pull = _read_pull(body, spec)
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise RequestError(
-                ErrorKind.MALFORMED, f"the pull is not understood: {error!r}"
-            ) from error
+            raise RequestError(ErrorKind.MALFORMED, f"the pull is malformed: {error!r}") from error
         reply = await self._registry.pull(trainer, step_id, pull)
         return web.json_response(reply_to_json(reply, spec))
 
@@ -71,10 +77,10 @@
         if service is None:
             raise RequestError(ErrorKind.UNKNOWN_SERVICE, f'no service "{service_name}"')
         trainer, step_id = request.match_info["trainer"], request.match_info["step"]
-        known = self._registry.steps.get((trainer, step_id))
-        # A step that names no bound keeps the one that it was first taken with,
-        # so that a changed service text does not make it another step.
-        default_bound = known.spec.staleness_bound if known else service.staleness_bound
+        registered = self._registry.steps.get((trainer, step_id))
+        # A step without a bound keeps the one that it was first registered with.
+        # Otherwise a changed configuration would make a resubmission a different step.
+        default_bound = registered.spec.staleness_bound if registered else service.staleness_bound
         spec = StepSpec(
             trainer=trainer,
             step_id=step_id,
@@ -84,10 +90,10 @@
             max_tokens=int(body["max_tokens"]),
             staleness_bound=int(body.get("staleness_bound", default_bound)),
             scoring=str(body.get("scoring", "")),
-            group_max_tokens=tuple(int(most) for most in body.get("group_max_tokens", ())),
+            group_max_tokens=tuple(int(limit) for limit in body.get("group_max_tokens", ())),
             group_length_hints=tuple(int(hint) for hint in body.get("group_length_hints", ())),
         )
-        _check_spec(spec)
+        _validate_spec(spec)
         if spec.scoring and self._board.service(spec.scoring) is None:
             raise RequestError(ErrorKind.UNKNOWN_SERVICE, f'no service "{spec.scoring}"')
         return spec
@@ -96,7 +102,7 @@
 def _read_prompts(body: Mapping[str, Any]) -> Sequence[str]:
     prompts = body["prompts"]
     if not isinstance(prompts, list):
-        raise ValueError("prompts is no list")
+        raise ValueError("prompts must be a list")
     return tuple(str(prompt) for prompt in prompts)
 
 
@@ -105,22 +111,26 @@
         number=int(body["pull"]),
         version=int(body["version"]),
         held=decode_positions(str(body["held"]), spec.size),
-        wait_s=max(0.0, min(MAX_WAIT_S, float(body.get("wait_s", 0.0)))),
-        limit=max(1, min(MAX_PULLED_SAMPLES, int(body.get("limit", MAX_PULLED_SAMPLES)))),
+        wait_s=max(0.0, min(MAX_PULL_WAIT_S, float(body.get("wait_s", 0.0)))),
+        limit=max(1, min(MAX_SAMPLES_PER_PULL, int(body.get("limit", MAX_SAMPLES_PER_PULL)))),
         client_id=str(body.get("client", "")),
     )
 
 
-def _check_spec(spec: StepSpec) -> None:
+def _validate_spec(spec: StepSpec) -> None:
     if spec.samples_per_group < 1 or spec.max_tokens < 1 or spec.staleness_bound < 0:
         raise ValueError(
             "samples_per_group and max_tokens must be at least 1, staleness_bound at least 0"
         )
-    if not 0 < spec.size <= MAX_STEP_SAMPLES:
-        raise ValueError(f"{spec.size} samples; 1 to {MAX_STEP_SAMPLES} are allowed")
+    if not 0 < spec.size <= MAX_SAMPLES_PER_STEP:
+        raise ValueError(
+            f"the step has {spec.size} samples; 1 to {MAX_SAMPLES_PER_STEP} are allowed"
+        )
     for name in ("group_max_tokens", "group_length_hints"):
         numbers = getattr(spec, name)
         if numbers and len(numbers) != len(spec.prompts):
-            raise ValueError(f"{name} needs one number for each of {len(spec.prompts)} groups")
+            raise ValueError(
+                f"{name} must have one number for each of the {len(spec.prompts)} groups"
+            )
         if numbers and min(numbers) < 1:
-            raise ValueError(f"{name} must be at least 1 each")
+            raise ValueError(f"each number of {name} must be at least 1")
--- a/tests/entry/test_bad_input.py
+++ b/tests/entry/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input of callers over real HTTP, each with its kind, its status and what ran."""
+"""Invalid requests of callers over real HTTP: error kind, status, and whether anything ran."""
 
 import asyncio
 from collections.abc import Mapping
@@ -8,79 +8,97 @@
 import pytest
 from aiohttp import web
 
-from samphirecleat.entry import _answers
+from samphirecleat.entry import _responses
 from samphirecleat.errors import ANSWERS, ErrorKind
 from samphirecleat.trial._fleet import Fleet
 from tests.fleets import running_fleet, until
 
-GOOD = b'{"prompt": "a quote"}'
-CALL = "/v1/services/cotizador/price"
-GENERATE = "/v1/services/asesor/generate"
-OWN_KEY = "OWN"
-DEEP = b'{"a":' + b"[" * 200_000
+VALID_BODY = b'{"prompt": "a quote"}'
+CALL_PATH = "/v1/services/cotizador/price"
+GENERATE_PATH = "/v1/services/asesor/generate"
+OWN_KEY_PREFIX = "OWN"
+DEEPLY_NESTED = b'{"a":' + b"[" * 200_000
 
 Case = tuple[str, Mapping[str, str], bytes, ErrorKind, str]
 CASES: Mapping[str, Case] = {
-    "no_json": (CALL, {}, b"}{", ErrorKind.MALFORMED, "no"),
-    "no_object": (CALL, {}, b"[1]", ErrorKind.MALFORMED, "no"),
-    "empty": (CALL, {}, b"", ErrorKind.MALFORMED, "no"),
-    "no_utf8": (CALL, {}, b'{"a": "\xff"}', ErrorKind.MALFORMED, "no"),
-    "deep": (CALL, {}, DEEP, ErrorKind.MALFORMED, "no"),
-    "oversized": (CALL, {}, b" " * 2_000_000, ErrorKind.BODY_TOO_LARGE, "no"),
+    "no_json": (CALL_PATH, {}, b"}{", ErrorKind.MALFORMED, "no"),
+    "no_object": (CALL_PATH, {}, b"[1]", ErrorKind.MALFORMED, "no"),
+    "empty": (CALL_PATH, {}, b"", ErrorKind.MALFORMED, "no"),
+    "no_utf8": (CALL_PATH, {}, b'{"a": "\xff"}', ErrorKind.MALFORMED, "no"),
+    "deep": (CALL_PATH, {}, DEEPLY_NESTED, ErrorKind.MALFORMED, "no"),
+    "oversized": (CALL_PATH, {}, b" " * 2_000_000, ErrorKind.BODY_TOO_LARGE, "no"),
     "oversized_own_key": (
-        CALL,
-        {"x-request-key": OWN_KEY},
+        CALL_PATH,
+        {"x-request-key": OWN_KEY_PREFIX},
         b" " * 2_000_000,
         ErrorKind.BODY_TOO_LARGE,
         "no",
     ),
-    "stream_flag": (CALL, {}, b'{"stream": 3}', ErrorKind.MALFORMED, "no"),
-    "no_prompt": (GENERATE, {}, b"{}", ErrorKind.MALFORMED, "no"),
-    "max_tokens": (GENERATE, {}, b'{"prompt": "", "max_tokens": "x"}', ErrorKind.MALFORMED, "no"),
+    "stream_flag": (CALL_PATH, {}, b'{"stream": 3}', ErrorKind.MALFORMED, "no"),
+    "no_prompt": (GENERATE_PATH, {}, b"{}", ErrorKind.MALFORMED, "no"),
+    "max_tokens": (
+        GENERATE_PATH,
+        {},
+        b'{"prompt": "", "max_tokens": "x"}',
+        ErrorKind.MALFORMED,
+        "no",
+    ),
     "max_tokens_true": (
-        GENERATE,
+        GENERATE_PATH,
         {},
         b'{"prompt": "", "max_tokens": true}',
         ErrorKind.MALFORMED,
         "no",
     ),
-    "service": ("/v1/services/nobody/price", {}, GOOD, ErrorKind.UNKNOWN_SERVICE, "no"),
-    "method": ("/v1/services/cotizador/nothing", {}, GOOD, ErrorKind.UNKNOWN_METHOD, "no"),
-    "path": ("/v1/nothing", {}, GOOD, ErrorKind.UNKNOWN_METHOD, "no"),
-    "verb": ("/v1/entries", {}, GOOD, ErrorKind.MALFORMED, "no"),
-    "deadline_past": (CALL, {"x-deadline-ms": "-5"}, GOOD, ErrorKind.DEADLINE_PASSED, "no"),
-    "deadline_zero": (CALL, {"x-deadline-ms": "0"}, GOOD, ErrorKind.DEADLINE_PASSED, "no"),
-    "deadline_text": (CALL, {"x-deadline-ms": "soon"}, GOOD, ErrorKind.MALFORMED, "no"),
-    "deadline_nan": (CALL, {"x-deadline-ms": "nan"}, GOOD, ErrorKind.MALFORMED, "no"),
-    "priority": (CALL, {"x-priority": "10"}, GOOD, ErrorKind.MALFORMED, "no"),
-    "priority_digit": (CALL, {"x-priority": "\u00b2"}, GOOD, ErrorKind.MALFORMED, "no"),
-    "idempotent": (CALL, {"x-idempotent": "maybe"}, GOOD, ErrorKind.MALFORMED, "no"),
-    "key": (CALL, {"x-request-key": "no key"}, GOOD, ErrorKind.KEY_MALFORMED, "no"),
+    "service": ("/v1/services/nobody/price", {}, VALID_BODY, ErrorKind.UNKNOWN_SERVICE, "no"),
+    "method": ("/v1/services/cotizador/nothing", {}, VALID_BODY, ErrorKind.UNKNOWN_METHOD, "no"),
+    "path": ("/v1/nothing", {}, VALID_BODY, ErrorKind.UNKNOWN_METHOD, "no"),
+    "verb": ("/v1/entries", {}, VALID_BODY, ErrorKind.MALFORMED, "no"),
+    "deadline_past": (
+        CALL_PATH,
+        {"x-deadline-ms": "-5"},
+        VALID_BODY,
+        ErrorKind.DEADLINE_PASSED,
+        "no",
+    ),
+    "deadline_zero": (
+        CALL_PATH,
+        {"x-deadline-ms": "0"},
+        VALID_BODY,
+        ErrorKind.DEADLINE_PASSED,
+        "no",
+    ),
+    "deadline_text": (CALL_PATH, {"x-deadline-ms": "soon"}, VALID_BODY, ErrorKind.MALFORMED, "no"),
+    "deadline_nan": (CALL_PATH, {"x-deadline-ms": "nan"}, VALID_BODY, ErrorKind.MALFORMED, "no"),
+    "priority": (CALL_PATH, {"x-priority": "10"}, VALID_BODY, ErrorKind.MALFORMED, "no"),
+    "priority_digit": (CALL_PATH, {"x-priority": "\u00b2"}, VALID_BODY, ErrorKind.MALFORMED, "no"),
+    "idempotent": (CALL_PATH, {"x-idempotent": "maybe"}, VALID_BODY, ErrorKind.MALFORMED, "no"),
+    "key": (CALL_PATH, {"x-request-key": "no key"}, VALID_BODY, ErrorKind.KEY_MALFORMED, "no"),
     "key_of_nobody": (
-        CALL,
+        CALL_PATH,
         {"x-request-key": "n9.abc.0.k"},
-        GOOD,
+        VALID_BODY,
         ErrorKind.KEY_OWNER_GONE,
         "unknown",
     ),
     "key_of_an_earlier_incarnation": (
-        CALL,
+        CALL_PATH,
         {"x-request-key": "n1.abc.0.k"},
-        GOOD,
+        VALID_BODY,
         ErrorKind.KEY_OWNER_GONE,
         "unknown",
     ),
-    "foreign_key_bad_body": (
-        CALL,
+    "key_of_nobody_bad_body": (
+        CALL_PATH,
         {"x-request-key": "n9.abc.0.k"},
         b"}{",
         ErrorKind.MALFORMED,
         "unknown",
     ),
     "future_epoch": (
-        CALL,
-        {"x-request-key": OWN_KEY + "-9999"},
-        GOOD,
+        CALL_PATH,
+        {"x-request-key": OWN_KEY_PREFIX + "-9999"},
+        VALID_BODY,
         ErrorKind.KEY_MALFORMED,
         "unknown",
     ),
@@ -98,15 +116,15 @@
 ) -> tuple[int, Mapping[str, Any]]:
     path, headers, body, _kind, _ran = case
     sent = dict(headers)
-    if sent.get("x-request-key", "").startswith(OWN_KEY):
+    if sent.get("x-request-key", "").startswith(OWN_KEY_PREFIX):
         sent["x-request-key"] = own_key(fleet, sent["x-request-key"], name)
     url = f"http://{fleet.bootstrap[0]}{path}"
     async with session.post(url, data=body, headers=sent) as response:
         return response.status, await response.json()
 
 
-def test_each_fault_of_a_caller_has_its_kind_and_runs_nothing() -> None:
-    """Callers send what no node can serve; one who cannot tell why would send it again."""
+def test_each_invalid_request_gets_its_error_kind_and_runs_nothing() -> None:
+    """Without the right error kind, a caller would retry a request that can never succeed."""
 
     async def scenario() -> None:
         async with running_fleet(1) as fleet, aiohttp.ClientSession() as session:
@@ -124,14 +142,14 @@
     asyncio.run(scenario())
 
 
-def test_a_key_refused_for_its_body_never_runs_with_a_better_one() -> None:
-    """A refused request was called not run, and then its body is sent again, mended."""
+def test_a_key_refused_for_its_body_never_runs_with_a_valid_one() -> None:
+    """A request was refused as not run, and is sent again with the same key and a valid body."""
 
     async def scenario() -> None:
         async with running_fleet(1) as fleet, aiohttp.ClientSession() as session:
-            headers = {"x-request-key": OWN_KEY}
-            bad = (CALL, headers, b"}{", ErrorKind.MALFORMED, "no")
-            good = (CALL, headers, GOOD, ErrorKind.KEY_CONFLICT, "no")
+            headers = {"x-request-key": OWN_KEY_PREFIX}
+            bad = (CALL_PATH, headers, b"}{", ErrorKind.MALFORMED, "no")
+            good = (CALL_PATH, headers, VALID_BODY, ErrorKind.KEY_CONFLICT, "no")
             await send(session, fleet, "k", bad)
             status, answer = await send(session, fleet, "k", good)
             assert (status, answer["error"]["kind"]) == (409, "key_conflict")
@@ -140,14 +158,20 @@
     asyncio.run(scenario())
 
 
-def test_a_key_that_ran_is_never_called_not_run() -> None:
-    """A caller asks again for a request that ran, with a header that is refused."""
+def test_a_key_that_ran_is_never_reported_as_not_run() -> None:
+    """A caller retries a request that ran, with an invalid header."""
 
     async def scenario() -> None:
         async with running_fleet(1) as fleet, aiohttp.ClientSession() as session:
-            headers = {"x-request-key": OWN_KEY}
-            good = (CALL, headers, GOOD, ErrorKind.MALFORMED, "")
-            late = (CALL, {**headers, "x-deadline-ms": "-1"}, GOOD, ErrorKind.MALFORMED, "")
+            headers = {"x-request-key": OWN_KEY_PREFIX}
+            good = (CALL_PATH, headers, VALID_BODY, ErrorKind.MALFORMED, "")
+            late = (
+                CALL_PATH,
+                {**headers, "x-deadline-ms": "-1"},
+                VALID_BODY,
+                ErrorKind.MALFORMED,
+                "",
+            )
             status, first = await send(session, fleet, "k", good)
             assert status == 200
             status, refused = await send(session, fleet, "k", late)
@@ -159,20 +183,19 @@
 
 
 @pytest.mark.parametrize("with_key", [True, False])
-def test_a_caller_that_goes_away_midway(with_key: bool) -> None:
-    """A caller's connection closes while its generation runs.
+def test_a_caller_that_disconnects_during_its_generation(with_key: bool) -> None:
+    """With a key the run continues, since the caller may retry and ask for the answer.
 
-    One with a key may come back for the answer, so its run goes on. Without a key
-    nobody can ever ask for it, and the engine is told to stop.
+    Without a key nobody can ask for it, so the engine is told to cancel the run.
     """
 
     async def scenario() -> None:
         async with running_fleet(1) as fleet, aiohttp.ClientSession() as session:
             for engine in fleet.engines:
                 engine.token_s = 0.01
-            headers = {"x-request-key": own_key(fleet, OWN_KEY, "k")} if with_key else {}
+            headers = {"x-request-key": own_key(fleet, OWN_KEY_PREFIX, "k")} if with_key else {}
             body = {"prompt": "a quote", "max_tokens": 60}
-            url = f"http://{fleet.bootstrap[0]}{GENERATE}"
+            url = f"http://{fleet.bootstrap[0]}{GENERATE_PATH}"
             sending = asyncio.create_task(session.post(url, json=body, headers=headers))
             await until(lambda: any(run.spans for e in fleet.engines for run in e.runs))
             sending.cancel()
@@ -190,7 +213,7 @@
 
 
 class StuckResponse(web.StreamResponse):
-    """A response whose reader takes the first line and then no more."""
+    """A response whose reader reads only the first line."""
 
     async def write(self, data: bytes | bytearray | memoryview) -> None:
         """Send the first line only."""
@@ -206,14 +229,14 @@
     return response
 
 
-def test_a_reader_that_stops_reading_holds_up_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A caller asks for a stream and takes nothing after its first line.
+def test_a_reader_that_stops_reading_blocks_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A caller requests a stream and reads only its first line.
 
-    Its generation ends all the same, others are served meanwhile, and a little
-    after its deadline its connection is closed, so that the node can end too.
+    The generation still ends, other callers are served meanwhile, and the connection is
+    closed shortly after the deadline, so that the node can shut down.
     """
-    monkeypatch.setattr(_answers, "_open_stream", open_stuck_stream)
-    monkeypatch.setattr(_answers, "SLOW_READER_GRACE_S", 0.2)
+    monkeypatch.setattr(_responses, "_open_stream", open_stuck_stream)
+    monkeypatch.setattr(_responses, "SLOW_READER_GRACE_S", 0.2)
 
     async def scenario() -> None:
         async with running_fleet(1) as fleet, aiohttp.ClientSession() as session:
@@ -221,10 +244,10 @@
             body = {"prompt": "a quote", "max_tokens": 30, "stream": True}
             url = f"http://{fleet.bootstrap[0]}"
             headers = {"x-deadline-ms": "1500"}
-            async with session.post(url + GENERATE, json=body, headers=headers) as response:
+            async with session.post(url + GENERATE_PATH, json=body, headers=headers) as response:
                 await response.content.readline()
                 await until(lambda: any(run.ended for e in fleet.engines for run in e.runs))
-                async with session.post(url + CALL, data=GOOD) as other:
+                async with session.post(url + CALL_PATH, data=VALID_BODY) as other:
                     assert other.status == 200
                 assert callers.in_flight > 0
                 await until(lambda: callers.in_flight == 0)
--- a/tests/entry/test_draining.py
+++ b/tests/entry/test_draining.py
@@ -1,4 +1,4 @@
-"""What callers get from a node that is near the end of its drain."""
+"""Responses to callers of a node that is near the end of its drain."""
 
 import asyncio
 
@@ -8,11 +8,11 @@
 from samphirecleat.trial._fleet import Fleet
 
 
-def test_a_drained_node_starts_nothing_new_and_answers_for_its_keys() -> None:
-    """A caller's answer is lost as its node drains, and it asks again with the same key.
+def test_a_drained_node_starts_no_new_run_and_returns_known_answers() -> None:
+    """A caller loses its answer while the node drains, and retries with the same key.
 
-    It must get the answer that was made, and a new request must be refused as not
-    run: if the node took it, its drain would never end or would cut it off.
+    It must get the existing answer. A new request must be refused as not run: if the
+    node accepted it, its drain would never end or would abort the request.
     """
 
     async def scenario() -> None:
@@ -21,7 +21,7 @@
         try:
             async with aiohttp.ClientSession() as session:
                 owner, other = fleet.nodes
-                await until_known(owner, other)
+                await wait_until_ready(owner, other)
                 first = await call(session, owner, owner, "aa" * 8)
                 owner.board.accepting = False
                 again = await call(session, other, owner, "aa" * 8)
@@ -35,14 +35,14 @@
     asyncio.run(scenario())
 
 
-async def until_known(owner, other) -> None:
-    give_up_at_s = asyncio.get_running_loop().time() + 20.0
+async def wait_until_ready(owner, other) -> None:
+    timeout_at_s = asyncio.get_running_loop().time() + 20.0
     while not (
         sum(1 for target in owner.board.targets.values() if target.usable) >= 8
         and len(other.board.live_members()) == 2
         and other.board.ready
     ):
-        assert asyncio.get_running_loop().time() < give_up_at_s
+        assert asyncio.get_running_loop().time() < timeout_at_s
         await asyncio.sleep(0.05)
 
 
