--- a/samphirecleat/bench/_member_fleet.py
+++ b/samphirecleat/bench/_member_fleet.py
@@ -31,7 +31,7 @@
         """Draw loads from ``rng``."""
         self._rng = rng
 
-    async def report(self, target: TargetView, now_s: float) -> TargetView:
+    async def fetch_report(self, target: TargetView, now_s: float) -> TargetView:
         """Return a report with a new load."""
         return target._replace(
             instance=f"{target.address}-instance-1",
--- a/samphirecleat/controllers/targets/_target_watch.py
+++ b/samphirecleat/controllers/targets/_target_watch.py
@@ -214,7 +214,7 @@
         known = polled.view if polled is not None else configured
         polled_at_s = asyncio.get_running_loop().time()
         self.polls += 1
-        view = await self._client.report(known, polled_at_s)
+        view = await self._client.fetch_report(known, polled_at_s)
         if view.reachable:
             self._suspected.pop(address, None)
             self._unusable.discard(address)
--- a/samphirecleat/controllers/weights/_load_monitor.py
+++ b/samphirecleat/controllers/weights/_load_monitor.py
@@ -57,7 +57,7 @@
         loading = True
         while loading or loop.time() - taken_at_s < POLL_TIMEOUT_S:
             await asyncio.sleep(POLL_PERIOD_S)
-            report = await self._client.report(target, loop.time())
+            report = await self._client.fetch_report(target, loop.time())
             if not report.reachable:
                 break
             loading = report.loading
--- a/samphirecleat/targets/_client.py
+++ b/samphirecleat/targets/_client.py
@@ -178,7 +178,7 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             return
 
-    async def report(self, target: TargetView, now_s: float) -> TargetView:
+    async def fetch_report(self, target: TargetView, now_s: float) -> TargetView:
         """Return the target as it reports itself, or as unreachable.
 
         It is asked again on a new connection before it counts as unreachable: a
@@ -209,7 +209,7 @@
     async def order_version(self, target: TargetView, version: int, fencing: int) -> OrderOutcome:
         """Order an engine to load a version.
 
-        Only a later :meth:`report` tells whether the version is live.
+        Only a later :meth:`fetch_report` tells whether the version is live.
         """
         timeout = aiohttp.ClientTimeout(total=self._probe_timeout_s)
         body: Mapping[str, Any] = {"kind": "load_version", "version": version, "fencing": fencing}
--- a/tests/controllers/targets/test_target_watch.py
+++ b/tests/controllers/targets/test_target_watch.py
@@ -149,7 +149,7 @@
         self.reachable = True
         self.poll_count = 0
 
-    async def report(self, _target: TargetView, now_s: float) -> TargetView:
+    async def fetch_report(self, _target: TargetView, now_s: float) -> TargetView:
         """Return the report of the target."""
         self.poll_count += 1
         return VIEW._replace(reachable=self.reachable, reported_at_s=now_s)
--- a/tests/targets/test_report.py
+++ b/tests/targets/test_report.py
@@ -32,10 +32,10 @@
                 probe_timeout_s=0.3,
             )
             target = TargetView(service.address, "cotizador", "z")
-            assert (await client.report(target, 0.0)).usable
+            assert (await client.fetch_report(target, 0.0)).usable
             service.silence_open_connections()
-            assert (await client.report(target, 0.0)).usable
+            assert (await client.fetch_report(target, 0.0)).usable
             await service.stop()
-            assert not (await client.report(target, 0.0)).usable
+            assert not (await client.fetch_report(target, 0.0)).usable
 
     asyncio.run(scenario())
