--- a/samphirecleat/peers/__init__.py
+++ b/samphirecleat/peers/__init__.py
@@ -1,4 +1,4 @@
-"""What passes between nodes: heartbeats, forwarded calls, configuration, reports."""
+"""Communication between nodes: heartbeats, forwarded calls, configuration and reports."""
 
 from typing import TYPE_CHECKING
 
@@ -40,7 +40,7 @@
     "rank_members",
 ]
 
-# Nodes that only exchange heartbeats need no remote calls, and not the library for them.
+# Loaded lazily, so that nodes that only exchange heartbeats don't import grpclib.
 __getattr__ = lazy_exports(
     __name__,
     {"PeerClient": "_client", "PeerServer": "_server", "PeerUnavailableError": "_client"},
--- a/samphirecleat/peers/_client.py
+++ b/samphirecleat/peers/_client.py
@@ -1,4 +1,4 @@
-"""Calls to other nodes over grpclib; channels are kept per address."""
+"""Calls to other nodes over grpclib; one channel is kept open per address."""
 
 import asyncio
 import hashlib
@@ -36,64 +36,73 @@
 )
 
 DEADLINE_SLACK_S: Final = 0.5
-RETIRED_CHANNEL_S: Final = 120.0
-KEY_HEADER: Final = "x-shared-key-digest"
-PEER_FAILURES: Final = (GRPCError, StreamTerminatedError, OSError, asyncio.TimeoutError)
+RETIRED_CHANNEL_TTL_S: Final = 120.0
+SHARED_KEY_HEADER: Final = "x-shared-key-digest"
+PEER_ERRORS: Final = (GRPCError, StreamTerminatedError, OSError, asyncio.TimeoutError)
 
 
 def peer_token(shared_key: str) -> str:
-    """Return what a node shows to another to prove that it has the shared key."""
+    """Return the token with which a node proves to another that it has the shared key."""
     return hashlib.blake2b(shared_key.encode(), digest_size=16, person=b"peer").hexdigest()
 
 
 class PeerUnavailableError(Exception):
-    """Another node gave no answer."""
+    """The call to another node failed."""
 
 
 class PeerClient:
-    """Asks other nodes; its failures are errors with a kind, never lost."""
+    """Calls other nodes.
+
+    Transport failures are raised as :class:`samphirecleat.errors.RequestError` or
+    :class:`PeerUnavailableError`, or returned as a probe result.
+    """
 
     def __init__(self, shared_key: str, progress_timeout_s: float) -> None:
-        """Show the digest of ``shared_key``; probe after ``progress_timeout_s`` of quiet."""
+        """Authenticate with ``shared_key``.
+
+        A forwarded call is probed after each ``progress_timeout_s`` without progress.
+        """
         self._progress_timeout_s = progress_timeout_s
-        self._metadata = {KEY_HEADER: peer_token(shared_key)}
+        self._metadata = {SHARED_KEY_HEADER: peer_token(shared_key)}
         self._channels: dict[str, Channel] = {}
 
     async def forward(
         self, member: Member, call: Call, now_s: float
     ) -> AsyncGenerator[AnswerLine, None]:
-        """Run a call at the node that owns its key and yield the answer's lines.
+        """Run a call on the node that owns its key and yield the lines of the answer.
 
-        Only the owner's own word says "not run": that no byte reached the owner
-        now does not tell whether an earlier copy of the request did, so every
-        failure on the way is OUTCOME_UNKNOWN. Nothing is sent a second time.
+        Only an error from the owner itself can say "not run". Even if no byte of this
+        request reached the owner, an earlier copy of it may have, so every transport
+        failure is OUTCOME_UNKNOWN. The request is never resent.
 
         :raises samphirecleat.errors.RequestError: the owner's own error,
-            OUTCOME_UNKNOWN when the owner was lost, or DEADLINE_EXCEEDED.
+            OUTCOME_UNKNOWN if the connection to the owner failed, or DEADLINE_EXCEEDED.
         """
-        left_s = max(0.01, call.deadline_at_s - now_s)
-        # The owner ends the call at the same deadline; the slack lets its own
-        # last word, which may say more than ours, get through.
-        timeout_s = left_s + DEADLINE_SLACK_S
+        remaining_s = max(0.01, call.deadline_at_s - now_s)
+        # The owner ends the call at the same deadline. The slack lets its own error arrive,
+        # which may say more about the run than an error of this node.
+        timeout_s = remaining_s + DEADLINE_SLACK_S
         channel = self._channel(member)
         try:
-            opening = PeersStub(channel).Forward.open(timeout=timeout_s, metadata=self._metadata)
-            async with opening as stream:
-                await stream.send_message(_forward_request(call, left_s), end=True)
-                async with aclosing(self._read_forward(member, call, stream)) as lines:
+            stream_context = PeersStub(channel).Forward.open(
+                timeout=timeout_s, metadata=self._metadata
+            )
+            async with stream_context as stream:
+                await stream.send_message(_forward_request(call, remaining_s), end=True)
+                async with aclosing(self._read_answer(member, call, stream)) as lines:
                     async for line in lines:
                         yield line
         except SilentConnectionError as error:
-            self._drop(member, channel)
-            raise _lost(member, f"silent connection: {error}") from error
+            self._retire_channel(member, channel)
+            raise _owner_lost_error(member, f"silent connection: {error}") from error
         except TimeoutError as error:
             raise RequestError(
-                ErrorKind.DEADLINE_EXCEEDED, "the key's owner gave no answer in time"
+                ErrorKind.DEADLINE_EXCEEDED, "the node that owns the key did not respond in time"
             ) from error
-        except PEER_FAILURES as error:
-            raise _lost(member, str(error)) from error
+        except PEER_ERRORS as error:
+            raise _owner_lost_error(member, str(error)) from error
 
-    async def _read_forward(
+    async def _read_answer(
         self, member: Member, call: Call, stream: Stream[ForwardRequest, ForwardChunk]
     ) -> AsyncGenerator[AnswerLine, None]:
         watch = ProgressWatch(
@@ -105,7 +114,7 @@
             while True:
                 chunk = await watch.wait(stream.recv_message())
                 if chunk is None:
-                    raise _lost(member, "its answer ended early")
+                    raise _owner_lost_error(member, "the answer ended early")
                 if chunk.error:
                     raise RequestError.from_body(json.loads(chunk.error))
                 if chunk.last:
@@ -114,41 +123,41 @@
                 yield decode_line(chunk.line)
 
     async def probe(self, member: Member, key: str) -> Probe:
-        """Ask a node on a new connection how far a key of its own is."""
+        """Ask a node, on a new connection, for the progress of a key that it owns."""
         channel = _open_channel(member.peer_address)
         try:
             reply = await PeersStub(channel).RequestStatus(
                 StatusRequest(key=key), timeout=self._progress_timeout_s, metadata=self._metadata
             )
             return RequestStatus(RunState(reply.state), reply.progress)
-        except (*PEER_FAILURES, ValueError):
+        except (*PEER_ERRORS, ValueError):
             return NoAnswer()
         finally:
             channel.close()
 
     async def fetch_config(self, member: Member, timeout_s: float) -> Restatement:
-        """Return what another node has in force.
+        """Return the configuration that is in force on another node.
 
-        :raises PeerUnavailableError: when it gives no answer.
+        :raises PeerUnavailableError: if the call fails.
         """
         try:
             reply = await self._stub(member).FetchConfig(
                 ConfigRequest(), timeout=timeout_s, metadata=self._metadata
             )
-        except PEER_FAILURES as error:
+        except PEER_ERRORS as error:
             raise PeerUnavailableError(str(error)) from error
         return Restatement(reply.revision, reply.folded_to, reply.text, reply.operator)
 
     async def fetch_report(self, member: Member, timeout_s: float) -> Mapping[str, Any]:
         """Return another node's own part of the fleet report.
 
-        :raises PeerUnavailableError: when it gives no answer.
+        :raises PeerUnavailableError: if the call fails.
         """
         try:
             reply = await self._stub(member).FetchReport(
                 ReportRequest(), timeout=timeout_s, metadata=self._metadata
             )
-        except PEER_FAILURES as error:
+        except PEER_ERRORS as error:
             raise PeerUnavailableError(str(error)) from error
         report: Mapping[str, Any] = json.loads(reply.report)
         return report
@@ -156,13 +165,13 @@
     async def fetch_host_list(self, member: Member, timeout_s: float) -> Sequence[ListedHost]:
         """Return the host list as another node knows it.
 
-        :raises PeerUnavailableError: when it gives no answer.
+        :raises PeerUnavailableError: if the call fails.
         """
         try:
             reply = await self._stub(member).FetchListed(
                 ListedRequest(), timeout=timeout_s, metadata=self._metadata
             )
-        except PEER_FAILURES as error:
+        except PEER_ERRORS as error:
             raise PeerUnavailableError(str(error)) from error
         return [ListedHost(r.address, r.service, r.zone, r.leaving) for r in reply.rows]
 
@@ -182,11 +191,11 @@
             self._channels[member.peer_address] = channel
         return channel
 
-    def _drop(self, member: Member, channel: Channel) -> None:
-        """Use a new connection from now on, and let others end on the old one."""
+    def _retire_channel(self, member: Member, channel: Channel) -> None:
+        """Use a new channel from now on, and let pending calls finish on the old one."""
         if self._channels.get(member.peer_address) is channel:
             del self._channels[member.peer_address]
-            asyncio.get_running_loop().call_later(RETIRED_CHANNEL_S, channel.close)
+            asyncio.get_running_loop().call_later(RETIRED_CHANNEL_TTL_S, channel.close)
 
 
 def _open_channel(address: str) -> Channel:
@@ -194,12 +203,12 @@
     return Channel(host, int(port))
 
 
-def _forward_request(call: Call, left_s: float) -> ForwardRequest:
+def _forward_request(call: Call, remaining_s: float) -> ForwardRequest:
     return ForwardRequest(
         service=call.service,
         method=call.method,
         body=json.dumps(call.body).encode(),
-        deadline_in_s=left_s,
+        deadline_in_s=remaining_s,
         priority=call.priority,
         idempotent=call.idempotent,
         key=call.request_id,
@@ -207,15 +216,15 @@
     )
 
 
-def _lost(member: Member, detail: str) -> RequestError:
+def _owner_lost_error(member: Member, detail: str) -> RequestError:
     return RequestError(
         ErrorKind.OUTCOME_UNKNOWN,
-        f"node {member.node_id}, which owns the key, was lost: {detail}",
+        f"lost contact with node {member.node_id}, which owns the key: {detail}",
     )
 
 
 def decode_line(raw: bytes) -> AnswerLine:
-    """Return an answer's line from its JSON form."""
+    """Decode a line of an answer from JSON."""
     line: AnswerLine = json.loads(raw)
     if "spans" in line:
         line["spans"] = [Span(int(version), int(tokens)) for version, tokens in line["spans"]]
--- a/samphirecleat/peers/_heartbeat.py
+++ b/samphirecleat/peers/_heartbeat.py
@@ -1,4 +1,4 @@
-"""The codec of the datagrams between nodes: packed, and signed with the shared key."""
+"""The codec of datagrams between nodes: msgpack, authenticated with the shared key."""
 
 import hashlib
 import hmac
@@ -12,11 +12,14 @@
 
 
 class HeartbeatError(Exception):
-    """A datagram that was not made by a node with the shared key, or is damaged."""
+    """A datagram that is malformed or was not signed with the shared key."""
 
 
 class HeartbeatCodec:
-    """Packs and unpacks datagrams; only nodes with the shared key can do either."""
+    """Packs and unpacks datagrams, each prefixed with a keyed digest of its payload.
+
+    Messages are authenticated but not encrypted.
+    """
 
     def __init__(self, shared_key: str) -> None:
         """Sign with ``shared_key``."""
@@ -25,26 +28,26 @@
         self._decoder = msgspec.msgpack.Decoder(Message)
 
     def pack(self, message: Message) -> bytes:
-        """Return the datagram that carries a message."""
-        # Left out where it says nothing: nodes of a version without it can't read it.
+        """Encode and sign a message."""
+        # An empty ``crashes`` is omitted: nodes of a version without that field can't decode it.
         payload = self._encoder.encode(message if message.crashes else message[:-1])
         return self._sign(payload) + payload
 
     def unpack(self, datagram: bytes) -> Message:
-        """Return the message of a datagram.
+        """Verify and decode a datagram.
 
-        :raises HeartbeatError: for one that is not signed with the shared key, or
-            that does not hold a message.
+        :raises HeartbeatError: if it is not signed with the shared key, or does not contain
+            a message with at least one row.
         """
         digest, payload = datagram[:DIGEST_BYTES], datagram[DIGEST_BYTES:]
         if not hmac.compare_digest(digest, self._sign(payload)):
-            raise HeartbeatError("the signature does not match")
+            raise HeartbeatError("the datagram's signature does not match")
         try:
             message = self._decoder.decode(payload)
         except msgspec.MsgspecError as error:
             raise HeartbeatError(str(error)) from error
         if not message.rows:
-            raise HeartbeatError("no row")
+            raise HeartbeatError("the message has no rows")
         return message
 
     def _sign(self, payload: bytes) -> bytes:
--- a/samphirecleat/peers/_messages.py
+++ b/samphirecleat/peers/_messages.py
@@ -1,8 +1,10 @@
-"""The datagrams between nodes: probes, and the news that rides on them.
+"""The messages of datagrams between nodes: probes, and the updates piggybacked on them.
 
-Ages travel instead of times of day, since no two hosts share a clock: a sender
-says how long ago a thing was so, and the receiver subtracts that from its own
-clock. Time spent on the network makes a row look a little younger than it is.
+Messages carry ages instead of timestamps, since the clocks of hosts differ: the sender
+states how long ago something was observed, and the receiver subtracts that from its own
+clock. The time on the network makes a row look slightly newer than it is.
+
+The structures are encoded as arrays, so the order and the types of their fields are fixed.
 """
 
 from collections.abc import Sequence
@@ -13,7 +15,11 @@
 
 
 class MessageKind(IntEnum):
-    """What a datagram asks of its receiver."""
+    """The purpose of a datagram.
+
+    PING requests an ACK; PING_REQ asks the receiver to ping another process on the sender's
+    behalf; UPDATE only carries updates; EXIT announces the exit of the sending process.
+    """
 
     PING = 1
     ACK = 2
@@ -23,17 +29,17 @@
 
 
 class MemberRow(NamedTuple):
-    """A member's own row and how long ago the member itself made it."""
+    """A member's row, made by the member itself ``age_ms`` ago."""
 
     member: Member
     age_ms: int
 
 
 class Death(NamedTuple):
-    """That a process gives no sign of life.
+    """A report that a process no longer responds.
 
     ``silent_for_ms`` is the time since the first probe that it left unanswered.
-    ``self_reported`` is set when the process itself said that it ends.
+    ``self_reported`` is set if the process itself announced its exit.
     """
 
     incarnation: str
@@ -42,10 +48,10 @@
 
 
 class TargetRow(NamedTuple):
-    """What a target said of itself; sent when something but its load changed.
+    """The report of a target; sent if anything other than its load changed.
 
-    ``poll_age_ms`` is the time since a node asked it, ``report_age_ms`` the time
-    since the target took the load that it reported.
+    ``poll_age_ms`` is the time since a node polled the target, ``report_age_ms`` the time
+    since the target measured the load that it reported.
     """
 
     address: str
@@ -62,7 +68,10 @@
 
 
 class TargetLoad(NamedTuple):
-    """A target's load in few bytes; ``key`` is a hash of its instance and whether it takes work."""
+    """A target's load in compact form.
+
+    ``key`` is a hash of the target's address, its instance and whether it accepts work.
+    """
 
     key: int
     running: int
@@ -72,7 +81,7 @@
 
 
 class HostListChange(NamedTuple):
-    """A row of the host list that changed, read ``age_ms`` ago."""
+    """A changed row of the host list, read ``age_ms`` ago; not ``present`` if it was removed."""
 
     address: str
     service: str
@@ -83,10 +92,11 @@
 
 
 class CrashRow(NamedTuple):
-    """That a run of a call ended with its target, and when.
+    """A report that a run of a call ended because its target crashed.
 
-    ``digest`` stands for the call, ``target`` for one start of a target, and ``node`` saw the end.
-    Without a ``target`` the call was answered; without a ``digest`` the target ended by itself.
+    ``digest`` identifies the call, ``target`` one start of a target, and ``node`` the node
+    that observed the crash. If ``target`` is empty, the row reports that the call was
+    answered; if ``digest`` is empty, that the target ended without a known call.
     """
 
     digest: bytes
@@ -99,9 +109,9 @@
 class Message(NamedTuple):
     """One datagram; the first of ``rows`` is the sender's own.
 
-    ``nonce`` ties an ACK to the PING that it answers. ``probe_address`` is the
-    peer address that a PING_REQ wants probed. ``known_member_count`` is how many live members the
-    sender knows, so that one who knows few is told of more.
+    ``nonce`` matches an ACK to its PING. ``probe_address`` is the peer address that a
+    PING_REQ asks the receiver to ping. ``known_member_count`` is how many live members the
+    sender knows; a receiver that knows many more sends it their rows.
     """
 
     kind: MessageKind
@@ -117,7 +127,7 @@
 
 
 class Outgoing(NamedTuple):
-    """A message and the peer address that it goes to."""
+    """A message and the peer address to send it to."""
 
     address: str
     message: Message
--- a/samphirecleat/peers/_server.py
+++ b/samphirecleat/peers/_server.py
@@ -1,4 +1,4 @@
-"""What a node answers to other nodes over grpclib."""
+"""The grpclib service that a node offers to other nodes."""
 
 import hmac
 import json
@@ -14,7 +14,7 @@
 from ..errors import RequestError
 from ..platform import ListedHost
 from ..requests import AnswerLine, RequestStatus
-from ._client import KEY_HEADER, peer_token
+from ._client import SHARED_KEY_HEADER, peer_token
 from .peers_grpc import PeersBase
 from .peers_pb2 import (
     ConfigReply,
@@ -34,7 +34,7 @@
 
 
 class PeerServer(PeersBase):
-    """Serves other nodes; a peer without the shared key is turned away."""
+    """Serves other nodes; calls of peers without the shared key fail as UNAUTHENTICATED."""
 
     def __init__(
         self,
@@ -43,27 +43,27 @@
         status: Callable[[str], RequestStatus],
         config: Callable[[], ConfigState],
         report: Callable[[], Mapping[str, Any]],
-        listed: Callable[[], Sequence[ListedHost]],
+        host_list: Callable[[], Sequence[ListedHost]],
     ) -> None:
-        """Answer from the given callables."""
+        """Serve the results of the given callables."""
         self._token = peer_token(shared_key)
         self._forward = forward
         self._status = status
         self._config = config
         self._report = report
-        self._listed = listed
+        self._host_list = host_list
         self._stopped = False
 
     def stop(self) -> None:
-        """Answer nothing more: closing the server leaves its open connections open."""
+        """Fail all further calls, since closing the server keeps open connections open."""
         self._stopped = True
 
     async def Forward(self, stream: Stream[ForwardRequest, ForwardChunk]) -> None:  # noqa: N802
-        """Run a forwarded call as the owner of its key."""
-        self._check_key(stream)
+        """Run a forwarded call; this node owns its key."""
+        self._authenticate(stream)
         request = await stream.recv_message()
         if request is None:
-            raise GRPCError(Status.INVALID_ARGUMENT, "a request is expected")
+            raise GRPCError(Status.INVALID_ARGUMENT, "the request message is missing")
         try:
             async with aclosing(self._forward(request)) as lines:
                 async for line in lines:
@@ -75,36 +75,36 @@
         await stream.send_message(ForwardChunk(last=True))
 
     async def RequestStatus(self, stream: Stream[StatusRequest, StatusReply]) -> None:  # noqa: N802
-        """Tell how far a key of this node is."""
-        self._check_key(stream)
+        """Return the progress of a key that this node owns."""
+        self._authenticate(stream)
         request = await stream.recv_message()
         status = self._status(request.key if request is not None else "")
         await stream.send_message(StatusReply(state=status.state.value, progress=status.progress))
 
     async def FetchConfig(self, stream: Stream[ConfigRequest, ConfigReply]) -> None:  # noqa: N802
-        """Tell what this node has in force."""
-        self._check_key(stream)
+        """Return the configuration that is in force on this node."""
+        self._authenticate(stream)
         await stream.recv_message()
-        told = state_to_tell(self._config())
-        await stream.send_message(ConfigReply(**told._asdict()))
+        state = state_to_tell(self._config())
+        await stream.send_message(ConfigReply(**state._asdict()))
 
     async def FetchReport(self, stream: Stream[ReportRequest, ReportReply]) -> None:  # noqa: N802
-        """Tell this node's own part of the fleet report."""
-        self._check_key(stream)
+        """Return this node's own part of the fleet report."""
+        self._authenticate(stream)
         await stream.recv_message()
         await stream.send_message(ReportReply(report=json.dumps(self._report()).encode()))
 
     async def FetchListed(self, stream: Stream[ListedRequest, ListedReply]) -> None:  # noqa: N802
-        """Tell the host list as this node knows it."""
-        self._check_key(stream)
+        """Return the host list as this node knows it."""
+        self._authenticate(stream)
         await stream.recv_message()
-        rows = [ListedRow(**row._asdict()) for row in self._listed()]
+        rows = [ListedRow(**row._asdict()) for row in self._host_list()]
         await stream.send_message(ListedReply(rows=rows))
 
-    def _check_key(self, stream: Stream[Any, Any]) -> None:
+    def _authenticate(self, stream: Stream[Any, Any]) -> None:
         if self._stopped:
             raise GRPCError(Status.UNAVAILABLE, "this node has stopped")
         assert stream.metadata is not None
-        shown = str(stream.metadata.get(KEY_HEADER, ""))
-        if not hmac.compare_digest(shown, self._token):
-            raise GRPCError(Status.UNAUTHENTICATED, "the shared key is missing or differs")
+        token = str(stream.metadata.get(SHARED_KEY_HEADER, ""))
+        if not hmac.compare_digest(token, self._token):
+            raise GRPCError(Status.UNAUTHENTICATED, "the shared key is missing or does not match")
--- a/samphirecleat/targets/_connector.py
+++ b/samphirecleat/targets/_connector.py
@@ -17,10 +17,10 @@
     An idle connection is kept for ``keepalive_timeout_s``, unless ``force_close`` is set.
 
     A device on the path can lose the state of a connection: nothing arrives any more, and
-    neither end gets an error. A plain service can't report the progress of a
-    call, so without keepalive probes a call that is not idempotent would be awaited until
-    its deadline. After ``probe_after_s`` without traffic the kernel probes the other end,
-    and if it gets no answer it ends the connection with an error.
+    neither end gets an error. A plain service can't report the progress of a call, so
+    without keepalive probes a call that is not idempotent would be awaited until its
+    deadline. After ``probe_after_s`` without traffic the kernel probes the other end, and
+    if it gets no answer it ends the connection with an error.
     """
 
     def make_socket(address: Any) -> socket.socket:
--- a/samphirecleat/targets/_orders.py
+++ b/samphirecleat/targets/_orders.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True)
 class OrderTaken:
-    """The target accepted the order; only its next report shows the effect."""
+    """The target accepted the order; only a later report shows the effect."""
 
 
 @dataclass(frozen=True)
--- a/tests/peers/__init__.py
+++ b/tests/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what passes between nodes."""
+"""Tests of the communication between nodes."""
--- a/tests/peers/test_forward.py
+++ b/tests/peers/test_forward.py
@@ -1,4 +1,4 @@
-"""Calls that one node forwards to another, over real connections that break."""
+"""Calls that one node forwards to another, over real connections that fail."""
 
 import asyncio
 import json
@@ -23,10 +23,10 @@
 
 
 class Owner:
-    """The node that owns the key: it answers two lines, and waits between them."""
+    """The node that owns the key; its answer has two lines, with a wait between them."""
 
     def __init__(self) -> None:
-        self.go_on = asyncio.Event()
+        self.resume = asyncio.Event()
         self.error: RequestError | None = None
         self.state = RunState.RUNNING
         self.deadlines_s: list[float] = []
@@ -37,16 +37,16 @@
         if self.error is not None:
             raise self.error
         yield {"text": "a", "spans": []}
-        await self.go_on.wait()
+        await self.resume.wait()
         yield {"text": json.loads(request.body)["prompt"], "end": "stop"}
 
     def status(self, _key: str) -> RequestStatus:
-        """Tell how far the key is."""
+        """Return the progress of the key."""
         return RequestStatus(self.state, 1)
 
 
 class Pair(NamedTuple):
-    """A node that forwards and the owner behind a relay."""
+    """The client of a forwarding node, and the key's owner behind a relay."""
 
     client: PeerClient
     owner: Owner
@@ -93,13 +93,13 @@
     return caught.value.kind, caught.value.ran
 
 
-def test_a_slow_owner_is_waited_for_and_told_the_deadline() -> None:
+def test_a_slow_owner_is_awaited_and_receives_the_deadline() -> None:
     async def scenario() -> None:
         async with make_pair() as pair:
             forwarding = asyncio.create_task(pair.forward(deadline_in_s=4.0))
             await until(lambda: pair.relay.bytes_back > 0)
             await asyncio.sleep(3 * PERIOD_S)
-            pair.owner.go_on.set()
+            pair.owner.resume.set()
             assert [line["text"] for line in await forwarding] == ["a", "b"]
             (deadline_in_s,) = pair.owner.deadlines_s
             assert 0.0 < deadline_in_s <= 4.0
@@ -109,10 +109,11 @@
 
 @pytest.mark.parametrize("how", ["cut", "silent", "gone", "stranger"])
 def test_an_owner_that_is_lost_leaves_the_outcome_unknown(how: str) -> None:
-    """The owner dies, cannot be reached, or its connection breaks or falls silent.
+    """The owner can't be reached, rejects the shared key, or its connection breaks.
 
-    That no byte reaches it now says nothing of an earlier copy of the request, so
-    the node in the middle never says that it was not run.
+    The connection is closed or goes silent. Even if no byte of this request
+    reached the owner, an earlier copy of it may have, so the forwarding node never reports
+    that it was not run.
     """
 
     async def scenario() -> None:
@@ -128,7 +129,7 @@
             if how == "silent":
                 pair.relay.silence()
                 pair.owner.state = RunState.ENDED
-                pair.owner.go_on.set()
+                pair.owner.resume.set()
             assert await error_of(forwarding) == (ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN)
 
     asyncio.run(scenario())
@@ -142,7 +143,7 @@
         RequestError(ErrorKind.ANSWER_DISCARDED, ""),
     ],
 )
-def test_the_owners_own_word_is_passed_on(error: RequestError) -> None:
+def test_an_error_of_the_owner_is_returned_unchanged(error: RequestError) -> None:
     async def scenario() -> None:
         async with make_pair() as pair:
             pair.owner.error = error
@@ -153,7 +154,7 @@
 
 
 def test_a_forwarded_call_ends_at_its_deadline() -> None:
-    """The owner hangs; the caller's deadline still ends the wait of the node between."""
+    """The owner hangs; the caller's deadline still ends the wait of the forwarding node."""
 
     async def scenario() -> None:
         async with make_pair() as pair:
