--- a/samphirecleat/entry/_callers.py
+++ b/samphirecleat/entry/_callers.py
@@ -77,12 +77,12 @@
         self._observer = observer
         self._timings = timings
         self._runs: set[asyncio.Task[None]] = set()
-        self._handlers = 0
+        self._open_requests = 0
 
     @property
     def in_flight(self) -> int:
         """The number of open requests plus active runs, including runs without a reader."""
-        return self._handlers + len(self._runs)
+        return self._open_requests + len(self._runs)
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
         """Add the callers' routes."""
@@ -124,12 +124,12 @@
 
     async def call(self, request: web.Request) -> web.StreamResponse:
         """Run one request and return its answer as one JSON object or as a stream."""
-        self._handlers += 1
+        self._open_requests += 1
         started_at_s = _now_s()
         try:
             return await self._call(request)
         finally:
-            self._handlers -= 1
+            self._open_requests -= 1
             self._observer.record_s("request", _now_s() - started_at_s)
 
     async def _call(self, request: web.Request) -> web.StreamResponse:
@@ -166,7 +166,7 @@
         headers = CallHeaders(
             request.deadline_in_s, request.priority, request.idempotent, request.traceparent
         )
-        self._handlers += 1
+        self._open_requests += 1
         try:
             try:
                 body = parse_body(request.body)
@@ -177,7 +177,7 @@
                 async for line in lines:
                     yield line
         finally:
-            self._handlers -= 1
+            self._open_requests -= 1
 
     def _refuse_key(self, error: RequestError, key: RequestKey | None) -> RequestError:
         """Return the error with "not run" only if the key can never run after it.
@@ -202,7 +202,7 @@
             return _AcceptedCall(call, self._run_unkeyed(call))
         match self._key_book.bind(key, call.body, _now_s()):
             case StartHere(answer=answer):
-                self._start(call, answer)
+                self._start_run(call, answer)
                 return _AcceptedCall(call, answer.read(call.deadline_at_s + ANSWER_READ_SLACK_S))
             case JoinHere(answer=answer):
                 self._observer.counters["keys_joined"] += 1
@@ -225,10 +225,10 @@
             raise RequestError(ErrorKind.UNKNOWN_SERVICE, f'no service "{service_name}"')
         method = service.methods.get(method_name)
         if method is None:
-            known = ", ".join(sorted(service.methods))
+            method_names = ", ".join(sorted(service.methods))
             raise RequestError(
                 ErrorKind.UNKNOWN_METHOD,
-                f'service "{service_name}" has no method "{method_name}"; it has {known}',
+                f'service "{service_name}" has no method "{method_name}"; it has {method_names}',
             )
         check_call_body(service.kind, body)
         return Call(
@@ -247,7 +247,7 @@
         identity = self._board.identity
         return f"{identity.node_id}.{identity.incarnation}.unkeyed.{secrets.token_hex(8)}"
 
-    def _start(self, call: Call, answer: AnswerLog) -> Callable[[], object]:
+    def _start_run(self, call: Call, answer: AnswerLog) -> Callable[[], object]:
         """Start a run that continues without a reader; return a function that cancels it.
 
         Near the end of its drain a node starts no more runs. It closes the key's answer
@@ -275,7 +275,7 @@
                 ErrorKind.OVERLOADED, "the answer store of this node is full", retry_after_s=1.0
             )
         answer = self._store.open()
-        cancel = self._start(call, answer)
+        cancel = self._start_run(call, answer)
         try:
             async with aclosing(answer.read(call.deadline_at_s + ANSWER_READ_SLACK_S)) as lines:
                 async for line in lines:
--- a/tests/entry/test_bad_input.py
+++ b/tests/entry/test_bad_input.py
@@ -88,7 +88,7 @@
         ErrorKind.KEY_OWNER_GONE,
         "unknown",
     ),
-    "key_of_nobody_bad_body": (
+    "foreign_key_bad_body": (
         CALL_PATH,
         {"x-request-key": "n9.abc.0.k"},
         b"}{",
--- a/tests/peers/test_forward.py
+++ b/tests/peers/test_forward.py
@@ -111,9 +111,8 @@
 def test_an_owner_that_is_lost_leaves_the_outcome_unknown(how: str) -> None:
     """The owner can't be reached, rejects the shared key, or its connection breaks.
 
-    The connection is closed or goes silent. Even if no byte of this request
-    reached the owner, an earlier copy of it may have, so the forwarding node never reports
-    that it was not run.
+    Even if no byte of this request reached the owner, an earlier copy of it may have, so
+    the forwarding node never reports that it was not run.
     """
 
     async def scenario() -> None:
