--- a/samphirecleat/targets/_client.py
+++ b/samphirecleat/targets/_client.py
@@ -41,8 +41,9 @@
 
     ``fresh_session`` opens a new connection for each request. Calls that are not
     idempotent use it, because a kept-alive connection may be closed or dead when it is
-    reused, and then it is unknown whether the request arrived. Probes, cancellations and
-    load orders use it because they are needed when a kept-alive connection has gone silent.
+    reused, and then it is unknown whether the request arrived. Probes and
+    cancellations use it because they are needed when a kept-alive connection has gone
+    silent. Load orders use it too.
     """
 
     def __init__(
