--- a/samphirecleat/platform/_generation_stream.py
+++ b/samphirecleat/platform/_generation_stream.py
@@ -7,7 +7,7 @@
 
 from ..durable import GenerationCall, GenerationError, GenerationEvent, GenerationFailure
 from ..serving import Target
-from ..targets import is_cut
+from ..targets import is_connection_closed
 from ._answers import ANSWER_FAULTS
 from ._call_exchange import MISDIRECTED, target_url
 from ._event_stream import NO_VERSION, EventFormatError, event_blocks, read_event
@@ -71,7 +71,7 @@
         except aiohttp.ClientConnectorError as error:
             raise GenerationError(repr(error), GenerationFailure.BROKEN) from error
         except ANSWER_FAULTS as error:
-            cut = is_cut(error)
+            cut = is_connection_closed(error)
             raise GenerationError(repr(error), GenerationFailure.BROKEN, cut=cut) from error
 
 
