--- a/samphirecleat/platform/_answers.py
+++ b/samphirecleat/platform/_answers.py
@@ -4,7 +4,7 @@
 
 import aiohttp
 
-ANSWER_FAULTS: Final = (
+RESPONSE_ERRORS: Final = (
     aiohttp.ClientError,
     TimeoutError,
     ConnectionError,
--- a/samphirecleat/platform/_call_exchange.py
+++ b/samphirecleat/platform/_call_exchange.py
@@ -9,15 +9,15 @@
 from ..errors import Ran
 from ..serving import Call, Target, TargetAnswer, TargetFault
 from ..targets import is_cut
-from ._answers import ANSWER_FAULTS
+from ._answers import RESPONSE_ERRORS
 from ._target_sessions import TargetSessions
 from ._wire_names import (
     CONNECTION_HEADERS,
     DEADLINE_MS,
     EXPECT_INSTANCE,
-    NOT_RUN,
+    NOT_EXECUTED,
     REQUEST_ID,
-    SIGNATURE,
+    SERVER_STAMP,
     WORKSPACE,
 )
 
@@ -61,9 +61,9 @@
                     response.status,
                     answer_headers(response),
                     body,
-                    response.headers.get(SIGNATURE, ""),
+                    response.headers.get(SERVER_STAMP, ""),
                 )
-        except ANSWER_FAULTS as error:
+        except RESPONSE_ERRORS as error:
             raise lost_answer(target, error) from error
 
 
@@ -106,13 +106,13 @@
     """Return why an answer can't be passed on, None if its head says that it can."""
     if response.status == MISDIRECTED:
         return TargetFault(f"{target.instance}: replaced", Ran.NO, wrong_instance=True)
-    if NOT_RUN in response.headers:
+    if NOT_EXECUTED in response.headers:
         return TargetFault(f"{target.instance}: refused", Ran.NO, refused=True)
     if response.headers.get(REQUEST_ID, "") != call.request_id:
         return TargetFault(f"{target.instance}: answer to another call", Ran.UNKNOWN)
     if response.headers.get("Content-Encoding"):
         return TargetFault(f"{target.instance}: encoded body", Ran.UNKNOWN)
-    if 200 <= response.status < 300 and not response.headers.get(SIGNATURE):
+    if 200 <= response.status < 300 and not response.headers.get(SERVER_STAMP):
         return TargetFault(f"{target.instance}: no signature", Ran.UNKNOWN)
     return None
 
--- a/samphirecleat/platform/_call_stream.py
+++ b/samphirecleat/platform/_call_stream.py
@@ -4,7 +4,7 @@
 
 from ..errors import Ran
 from ..serving import Call, StreamEvent, StreamStart, Target, TargetAnswer, TargetFault
-from ._answers import ANSWER_FAULTS
+from ._answers import RESPONSE_ERRORS
 from ._call_exchange import (
     answer_headers,
     fault_of,
@@ -14,7 +14,7 @@
 )
 from ._event_stream import EVENT_STREAM, EventFormatError, event_blocks, read_event
 from ._target_sessions import TargetSessions
-from ._wire_names import LAST_EVENT_ID, SIGNATURE, VERSION
+from ._wire_names import LAST_EVENT_ID, SERVER_STAMP, WEIGHT_VERSIONS
 
 
 class CallStream:
@@ -49,10 +49,10 @@
                     raise fault
                 if response.status != 200 or response.content_type != EVENT_STREAM:
                     body = await response.read()
-                    signature = response.headers.get(SIGNATURE, "")
+                    signature = response.headers.get(SERVER_STAMP, "")
                     yield TargetAnswer(response.status, answer_headers(response), body, signature)
                     return
-                version = int(response.headers.get(VERSION, "0"))
+                version = int(response.headers.get(WEIGHT_VERSIONS, "0"))
                 yield StreamStart(response.status, answer_headers(response), version)
                 async for block in event_blocks(response.content):
                     event = read_event(block, version)
@@ -60,5 +60,5 @@
                     yield StreamEvent(event.event_id, version, block)
         except EventFormatError as error:
             raise TargetFault(f"{target.instance}: {error}", Ran.UNKNOWN, cut=True) from error
-        except ANSWER_FAULTS as error:
+        except RESPONSE_ERRORS as error:
             raise lost_answer(target, error) from error
--- a/samphirecleat/platform/_duty_api.py
+++ b/samphirecleat/platform/_duty_api.py
@@ -10,7 +10,7 @@
 from ..durable import Holder, ScaleOutcome
 from ..observe import Observer
 from ..usage import ReportOutcome, WindowCounts
-from ._answers import ANSWER_FAULTS
+from ._answers import RESPONSE_ERRORS
 from ._wire_names import DUTY_FENCING, DUTY_HOLDER, PATH_SCALE, PATH_USAGE
 
 # Of an answer that is no success, the log tells this much.
@@ -89,7 +89,7 @@
                     timeout=aiohttp.ClientTimeout(total=timeout_s),
                 ) as response:
                     answer = await response.read()
-            except ANSWER_FAULTS as error:
+            except RESPONSE_ERRORS as error:
                 self._words.warning("%s got no answer: %r", path, error)
                 return 0
             if response.status != 200:
--- a/samphirecleat/platform/_engine_orders.py
+++ b/samphirecleat/platform/_engine_orders.py
@@ -7,7 +7,7 @@
 
 from ..durable import EngineReport, Order, OrderOutcome
 from ..serving import Target
-from ._answers import ANSWER_FAULTS
+from ._answers import RESPONSE_ERRORS
 from ._call_exchange import target_url
 from ._target_sessions import TargetSessions
 from ._wire_names import EXPECT_INSTANCE, PATH_ORDER, PATH_REPORT
@@ -48,7 +48,7 @@
                     int(body["sequence"]),
                     int(body.get("born", 0)),
                 )
-        except ANSWER_FAULTS:
+        except RESPONSE_ERRORS:
             return None
 
     async def order(self, target: Target, order: Order, timeout_s: float) -> OrderOutcome:
@@ -75,5 +75,5 @@
                 return _OUTCOMES.get(response.status, OrderOutcome.UNKNOWN)
         except aiohttp.ClientConnectorError:
             return OrderOutcome.REJECTED
-        except ANSWER_FAULTS:
+        except RESPONSE_ERRORS:
             return OrderOutcome.UNKNOWN
--- a/samphirecleat/platform/_event_stream.py
+++ b/samphirecleat/platform/_event_stream.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from ._wire_names import VERSION
+from ._wire_names import WEIGHT_VERSIONS
 
 # One event of a few hundred bytes; a stream that sends this much without one is no stream.
 LARGEST_EVENT_BYTES: Final = 4 * 1024 * 1024
@@ -56,7 +56,7 @@
                 event_id = int(value)
             case "data":
                 data = value if data is None else f"{data}\n{value}"
-            case key if key == VERSION.lower() and value.strip().isdigit():
+            case key if key == WEIGHT_VERSIONS.lower() and value.strip().isdigit():
                 version = int(value)
     if event_id < 0 or data is None or version == NO_VERSION:
         raise EventFormatError(f"not an event: {block[:80]!r}")
--- a/samphirecleat/platform/_front.py
+++ b/samphirecleat/platform/_front.py
@@ -32,8 +32,8 @@
     PATH_ITEM,
     PATH_STEP,
     REQUEST_ID,
-    VERSION,
     WAIT_MS,
+    WEIGHT_VERSIONS,
 )
 
 # A caller that names no deadline is given this much.
@@ -279,10 +279,10 @@
     A target that goes on with another's stream names its version in a head which the caller
     never sees.
     """
-    named = VERSION.lower().encode() in event.block.lower()
+    named = WEIGHT_VERSIONS.lower().encode() in event.block.lower()
     if event.version == told_version or named:
         return event.block + b"\n\n"
-    return f"{VERSION.lower()}: {event.version}\n".encode() + event.block + b"\n\n"
+    return f"{WEIGHT_VERSIONS.lower()}: {event.version}\n".encode() + event.block + b"\n\n"
 
 
 def _pass_on(answer: TargetAnswer) -> web.StreamResponse:
--- a/samphirecleat/platform/_generation_stream.py
+++ b/samphirecleat/platform/_generation_stream.py
@@ -8,7 +8,7 @@
 from ..durable import GenerationCall, GenerationEnd, GenerationError, Piece
 from ..serving import Target
 from ..targets import is_cut
-from ._answers import ANSWER_FAULTS
+from ._answers import RESPONSE_ERRORS
 from ._call_exchange import MISDIRECTED, target_url
 from ._event_stream import NO_VERSION, EventFormatError, event_blocks, read_event
 from ._target_sessions import TargetSessions
@@ -17,10 +17,10 @@
     EXPECT_INSTANCE,
     IDENTITY_HEADERS,
     LAST_EVENT_ID,
-    NOT_RUN,
+    NOT_EXECUTED,
     REQUEST_ID,
-    RUN_PRIORITY,
-    VERSION,
+    REQUEST_PRIORITY,
+    WEIGHT_VERSIONS,
     WORKSPACE,
 )
 
@@ -43,7 +43,7 @@
             (REQUEST_ID, call.item_id),
             (DEADLINE_MS, str(int(call.budget_s * 1000))),
             (EXPECT_INSTANCE, target.instance),
-            (RUN_PRIORITY, str(call.priority)),
+            (REQUEST_PRIORITY, str(call.priority)),
         ]
         if call.workspace:
             headers.append((WORKSPACE, call.workspace))
@@ -59,7 +59,7 @@
                 await _check_start(response, call)
                 # An engine that is asked to go on behind the last event makes nothing and
                 # names no version; its stream ends at once, which is the end of the text.
-                version = int(response.headers.get(VERSION, NO_VERSION))
+                version = int(response.headers.get(WEIGHT_VERSIONS, NO_VERSION))
                 async for block in event_blocks(response.content):
                     event = read_event(block, version)
                     version = event.version
@@ -68,7 +68,7 @@
             raise GenerationError(str(error), GenerationEnd.BROKEN, cut=True) from error
         except aiohttp.ClientConnectorError as error:
             raise GenerationError(repr(error), GenerationEnd.BROKEN) from error
-        except ANSWER_FAULTS as error:
+        except RESPONSE_ERRORS as error:
             cut = is_cut(error)
             raise GenerationError(repr(error), GenerationEnd.BROKEN, cut=cut) from error
 
@@ -87,7 +87,7 @@
     """
     if response.status == MISDIRECTED:
         raise GenerationError("replaced", GenerationEnd.WRONG_INSTANCE)
-    if NOT_RUN in response.headers:
+    if NOT_EXECUTED in response.headers:
         await response.read()
         raise GenerationError(f"refused with {response.status}", GenerationEnd.REFUSED)
     if response.headers.get(REQUEST_ID) != call.item_id:
--- a/samphirecleat/platform/_host_list.py
+++ b/samphirecleat/platform/_host_list.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from ._answers import ANSWER_FAULTS
+from ._answers import RESPONSE_ERRORS
 
 
 class ListedHost(NamedTuple):
@@ -55,5 +55,5 @@
                     )
                     for row in body["hosts"]
                 ]
-        except ANSWER_FAULTS as error:
+        except RESPONSE_ERRORS as error:
             raise HostListUnavailableError(str(error) or type(error).__name__) from error
--- a/samphirecleat/platform/_job_documents.py
+++ b/samphirecleat/platform/_job_documents.py
@@ -9,7 +9,7 @@
 
 from ..durable import ItemSpec, ListedResult, RewardSpec, StepPage, StepRequest
 from ..errors import ErrorKind, RequestError
-from ._answers import ANSWER_FAULTS
+from ._answers import RESPONSE_ERRORS
 from ._wire_names import LENGTH_HINT, TOKEN_COUNTS
 
 _DECODER: Final = msgspec.json.Decoder()
@@ -27,13 +27,13 @@
         rows = document["items"]
         if not isinstance(rows, list) or not rows:
             raise ValueError("items: wants a list that is not empty")
-    except ANSWER_FAULTS as error:
+    except RESPONSE_ERRORS as error:
         raise RequestError(ErrorKind.MALFORMED, f"job {step_id}: {error!r}") from error
     items = []
     for number, row in enumerate(rows):
         try:
             items.append(_item(row))
-        except ANSWER_FAULTS as error:
+        except RESPONSE_ERRORS as error:
             detail = f"job {step_id}: item {number}: {error!r}"
             raise RequestError(ErrorKind.MALFORMED, detail) from error
     if len({item.item_id for item in items}) < len(items):
@@ -52,7 +52,7 @@
             items,
             workspace,
         )
-    except ANSWER_FAULTS as error:
+    except RESPONSE_ERRORS as error:
         raise RequestError(ErrorKind.MALFORMED, f"job {step_id}: {error!r}") from error
 
 
--- a/samphirecleat/platform/_log.py
+++ b/samphirecleat/platform/_log.py
@@ -7,7 +7,7 @@
 import aiohttp
 
 from ..config import LogRecord
-from ._answers import ANSWER_FAULTS
+from ._answers import RESPONSE_ERRORS
 
 SHORTEST_PATIENCE_S: Final = 1.0
 LONGEST_PATIENCE_S: Final = 16.0
@@ -91,7 +91,7 @@
                 return Appended(AppendOutcome.UNKNOWN, detail=f"HTTP {response.status}")
         except aiohttp.ClientConnectorError as error:
             return Appended(AppendOutcome.NOT_APPENDED, detail=str(error))
-        except ANSWER_FAULTS as error:
+        except RESPONSE_ERRORS as error:
             # The record may have been taken although its answer was lost.
             return Appended(AppendOutcome.UNKNOWN, detail=str(error) or type(error).__name__)
 
@@ -107,7 +107,7 @@
                 if response.status != 200:
                     raise LogUnavailableError(f"HTTP {response.status}")
                 return _read_batch(await response.json())
-        except ANSWER_FAULTS as error:
+        except RESPONSE_ERRORS as error:
             raise LogUnavailableError(str(error) or type(error).__name__) from error
 
 
--- a/samphirecleat/platform/_metadata_store.py
+++ b/samphirecleat/platform/_metadata_store.py
@@ -27,7 +27,7 @@
     LogUnavailableError,
 )
 from ..observe import Observer
-from ._answers import ANSWER_FAULTS
+from ._answers import RESPONSE_ERRORS
 from ._record_framing import (
     first_kept,
     join_key,
@@ -103,7 +103,7 @@
                 ]
                 end = int(page["end"]) if end < 0 else end
                 more = bool(page["truncated"])
-            except ANSWER_FAULTS as error:
+            except RESPONSE_ERRORS as error:
                 raise LogUnavailableError(f"not understood: {error!r}") from error
             wanted = [row for row in rows if row.key.startswith(prefix)]
             entries.extend(wanted)
@@ -281,7 +281,7 @@
                 method, url, data=body or None, timeout=timeout
             ) as response:
                 reply = StoreReply(response.status, await response.read())
-        except ANSWER_FAULTS as error:
+        except RESPONSE_ERRORS as error:
             self._note(way, works=False, detail=repr(error))
             if isinstance(error, TimeoutError):
                 self._patience_s = min(LONGEST_PATIENCE_S, self._patience_s * 1.6)
--- a/samphirecleat/platform/_peer_texts.py
+++ b/samphirecleat/platform/_peer_texts.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ..blackboard import Member
-from ._answers import ANSWER_FAULTS
+from ._answers import RESPONSE_ERRORS
 
 PATH_TEXTS: Final = "/texts"
 # A peer has them in memory or not at all; the reader's trainer waits.
@@ -46,7 +46,7 @@
             ):
                 body = await response.read()
                 return _TEXTS.decode(body) if response.status == 200 else {}
-        except (*ANSWER_FAULTS, msgspec.MsgspecError):
+        except (*RESPONSE_ERRORS, msgspec.MsgspecError):
             return {}
 
 
--- a/samphirecleat/platform/_record_framing.py
+++ b/samphirecleat/platform/_record_framing.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from ._answers import ANSWER_FAULTS
+from ._answers import RESPONSE_ERRORS
 
 _LENGTH_BYTES: Final = 4
 
@@ -60,5 +60,5 @@
     try:
         number: Any = msgspec.json.decode(body)[name]
         return int(number)
-    except ANSWER_FAULTS:
+    except RESPONSE_ERRORS:
         return -1
--- a/samphirecleat/platform/_watches.py
+++ b/samphirecleat/platform/_watches.py
@@ -11,7 +11,7 @@
     decode_named_version,
     decode_target,
 )
-from ._wire_names import KEY_CONFIG, KEY_VERSION
+from ._wire_names import CONFIG_KEY, VERSION_KEY_PREFIX
 
 
 class OperatorWatch:
@@ -30,9 +30,9 @@
             if not entry.value:
                 continue
             try:
-                if entry.key == KEY_CONFIG:
+                if entry.key == CONFIG_KEY:
                     self._take_config(entry)
-                elif entry.key.startswith(KEY_VERSION):
+                elif entry.key.startswith(VERSION_KEY_PREFIX):
                     self._take_version(entry)
             except DocumentFormatError as error:
                 self._words.error("offset=%d not understood: %s", entry.offset, error)
--- a/samphirecleat/platform/_weight_store.py
+++ b/samphirecleat/platform/_weight_store.py
@@ -4,7 +4,7 @@
 
 import aiohttp
 
-from ._answers import ANSWER_FAULTS
+from ._answers import RESPONSE_ERRORS
 
 
 class WeightStoreUnavailableError(Exception):
@@ -43,5 +43,5 @@
                     raise WeightStoreUnavailableError(f"HTTP {response.status}")
                 body = await response.json()
                 return StoreInfo(int(body["version"]), int(body["parallel_loads"]))
-        except ANSWER_FAULTS as error:
+        except RESPONSE_ERRORS as error:
             raise WeightStoreUnavailableError(str(error) or type(error).__name__) from error
