--- a/samphirecleat/platform/__init__.py
+++ b/samphirecleat/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of what the platform gives: the log, the host list, the weight store."""
+"""Clients of the platform's log, host list and weight store."""
 
 from ._host_list import HostListUnavailableError, HttpHostList, ListedHost
 from ._log import Appended, AppendOutcome, HttpLog, Log, LogBatch, LogUnavailableError, ReadPatience
--- a/samphirecleat/platform/__main__.py
+++ b/samphirecleat/platform/__main__.py
@@ -1,4 +1,4 @@
-"""The thin daemon on the users' platform: settings in, signals handled, drained on SIGTERM."""
+"""Runs a platform node: reloads its settings on SIGHUP, drains and stops on SIGTERM."""
 
 import asyncio
 import logging
@@ -14,19 +14,19 @@
 from ._boot_settings import SETTINGS_VARIABLE, BootSettingsError, read_boot_settings
 from ._platform_node import PlatformNode
 
-EXIT_BAD_SETTINGS: Final = 2
-# A runner writes four lines for each item, of which a step has some hundred in a second.
+EXIT_INVALID_SETTINGS: Final = 2
+# A runner logs four lines per item, and a step has about a hundred items per second.
 LOG_LINES_PER_S: Final = 600
 
 
 def main() -> None:
-    """Run a node until SIGTERM; exit 2 at once for settings that can't be used."""
+    """Run a node until SIGTERM; exit with status 2 if the settings are invalid."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     try:
         settings = read_boot_settings(path)
     except BootSettingsError as error:
         print(error, file=sys.stderr)
-        sys.exit(EXIT_BAD_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     if "--check" in sys.argv[1:]:
         print(f"{path}: good")
         return
@@ -47,7 +47,7 @@
 
 
 def _reload(node: PlatformNode, path: str) -> None:
-    """Read the settings again; ones that can't be used leave the old in force."""
+    """Reload the settings; the node keeps its current ones if the new ones are invalid."""
     try:
         node.reload(read_boot_settings(path))
     except BootSettingsError as error:
@@ -56,11 +56,11 @@
 
 async def _run(node: PlatformNode, path: str) -> None:
     loop = asyncio.get_running_loop()
-    leaving = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, leaving.set)
+    terminated = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, terminated.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, node, path)
     await node.start()
-    await leaving.wait()
+    await terminated.wait()
     await node.drain()
     await node.stop()
 
--- a/samphirecleat/platform/_answers.py
+++ b/samphirecleat/platform/_answers.py
@@ -1,4 +1,4 @@
-"""The ways in which an answer of the platform can fail to be one."""
+"""The exceptions that a missing or malformed response of the platform raises."""
 
 from typing import Final
 
@@ -14,8 +14,8 @@
     TypeError,
     AttributeError,
 )
-"""Raised by a request that gets no answer, or by reading one of another shape.
+"""Raised by a request without a response, or by decoding a malformed one.
 
-Something between the two ends may answer in the platform's place; an exception
-that is missing here would end the controller that asked, not just the request.
+A proxy in between may answer in the platform's place. An exception that is missing here would stop
+the calling controller instead of failing one request.
 """
--- a/samphirecleat/platform/_boot_settings.py
+++ b/samphirecleat/platform/_boot_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the platform lays down for a process, read into our own names."""
+"""Reads the settings file that the platform provides to a node process."""
 
 import math
 import tomllib
@@ -12,15 +12,16 @@
 
 
 class BootSettings(NamedTuple):
-    """Who this process is on the platform, where it listens, and what bounds it.
-
-    Addresses are ``IP:PORT``; ``""`` is one that the platform did not give.
-    ``peer_ports`` are the first and last port for traffic between nodes. ``metrics_port``
-    comes from the command line, 0 for none. Where ``fences_checked``, those who take orders refuse
-    the ones of an earlier holder. Within ``key_revocation_s`` a key that was taken
-    away must be out of force; a node that can't hear of that serves nobody by key afterwards
-    where ``keys_fail_closed``. The platform's API at ``api_address`` wants the ``api_duties`` of
-    one node at a time; usage of each ``report_window_s`` is due ``report_due_s`` after its end.
+    """The identity of a node process, the addresses that it uses, and its limits.
+
+    Addresses are ``IP:PORT``, or ``""`` if the platform provides none. ``peer_ports`` are the first
+    and the last port for traffic between nodes. ``metrics_port`` comes from the command line; 0
+    means none. If ``fences_checked`` is set, the receivers of orders reject those of an earlier
+    holder. A revoked API key must stop working within ``key_revocation_s``; if ``keys_fail_closed``
+    is set, a node that can't read revocations accepts no key after that time. ``api_duties`` are
+    the calls of the platform's API at ``api_address`` that one node at a time must make;
+    ``api_calls_per_s`` limits their rate. The usage report of each ``report_window_s`` is due
+    ``report_due_s`` after the end of the window.
     """
 
     node_id: str
@@ -50,24 +51,24 @@
 
     @property
     def reports_usage(self) -> bool:
-        """Whether the platform wants usage reported."""
+        """Whether the platform requires usage reports."""
         return DUTY_USAGE in self.api_duties
 
     @property
     def orders_targets(self) -> bool:
-        """Whether the platform takes orders of targets."""
+        """Whether the platform accepts orders of targets."""
         return DUTY_SCALING in self.api_duties
 
 
 class BootSettingsError(Exception):
-    """Settings that cannot be used; the text names the file, the key and what is wrong."""
+    """Settings are invalid; the message names the file, the key and the problem."""
 
 
 def read_boot_settings(path: str) -> BootSettings:
-    """Return the settings of a file.
+    """Return the settings in a file.
 
-    :raises BootSettingsError: when the file can't be read, or a needed key is missing or
-        of another type.
+    :raises BootSettingsError: if the file can't be read, or a required key is missing or has the
+        wrong type.
     """
     try:
         document = tomllib.loads(Path(path).read_text())
@@ -77,28 +78,28 @@
 
 
 def decode_boot_settings(document: Mapping[str, Any], source: str) -> BootSettings:
-    """Return the settings of a parsed document; keys that are not known are ignored.
+    """Return the settings in a parsed document; unknown keys are ignored.
 
-    :raises BootSettingsError: when a needed key is missing or of another type.
+    :raises BootSettingsError: if a required key is missing or has the wrong type.
     """
-    reader = _Reader(document, source)
+    reader = _SettingsReader(document, source)
     ports = reader.numbers("internalPortRange", 2)
     return BootSettings(
-        node_id=reader.text("nodeName"),
-        zone=reader.text("zone"),
-        region=reader.text("region"),
-        ip_address=reader.text("ipAddress"),
-        front_address=reader.text("listenAddresses.front"),
-        ready_address=reader.text("listenAddresses.ready"),
-        control_address=reader.text("listenAddresses.control"),
-        directory_address=reader.text("listenAddresses.directory"),
+        node_id=reader.string("nodeName"),
+        zone=reader.string("zone"),
+        region=reader.string("region"),
+        ip_address=reader.string("ipAddress"),
+        front_address=reader.string("listenAddresses.front"),
+        ready_address=reader.string("listenAddresses.ready"),
+        control_address=reader.string("listenAddresses.control"),
+        directory_address=reader.string("listenAddresses.directory"),
         peer_ports=(int(ports[0]), int(ports[1])),
-        seed_addresses=reader.texts("seedNodes"),
-        store_address=reader.text("platform.address"),
+        seed_addresses=reader.strings("seedNodes"),
+        store_address=reader.string("platform.address"),
         grace_s=reader.number("bounds.gracePeriodS"),
         lease_s=reader.number("bounds.leaseDurationMs") / 1000.0,
         entry_ttl_s=reader.number("bounds.ttl_max_s"),
-        # A share of each core, and the number of cores whose shares add up.
+        # The share of each core that this process may use, times the number of cores.
         cores=reader.number("limits.cpuShare", 1.0) * reader.number("limits.cpuCores", 1.0),
         fences_checked=reader.flag("bounds.fencingEnforced", default=False),
         keys_fail_closed=reader.flag("bounds.revokeFailClosed", default=False),
@@ -108,7 +109,7 @@
 
 
 class _ApiSettings(TypedDict, total=False):
-    """The settings of the platform's API, none where there is no such API."""
+    """The settings of the platform's API; empty if there is none."""
 
     api_address: str
     api_duties: frozenset[str]
@@ -117,16 +118,17 @@
     report_due_s: float
 
 
-def _api_settings(reader: "_Reader") -> _ApiSettings:
-    """Return where the platform's API is, and what of it is a duty.
+def _api_settings(reader: "_SettingsReader") -> _ApiSettings:
+    """Return the settings of the platform's API.
 
-    :raises BootSettingsError: when a key of it is of another type, or usage has no windows.
+    :raises BootSettingsError: if a key has the wrong type, or usage is a duty and the length or the
+        due time of its windows is missing.
     """
     if not reader.has("cloudApi"):
         return {}
     settings = _ApiSettings(
-        api_address=reader.text("cloudApi.address"),
-        api_duties=frozenset(reader.texts("cloudApi.duties")),
+        api_address=reader.string("cloudApi.address"),
+        api_duties=frozenset(reader.strings("cloudApi.duties")),
         api_calls_per_s=reader.positive("cloudApi.dutyPerS", math.inf),
     )
     if DUTY_USAGE in settings["api_duties"]:
@@ -135,27 +137,27 @@
     return settings
 
 
-class _Reader:
-    """Looks up dotted keys and says where one is wrong."""
+class _SettingsReader:
+    """Reads values by dotted key, and raises errors that name the file and the key."""
 
     def __init__(self, document: Mapping[str, Any], source: str) -> None:
         self._document = document
         self._source = source
 
-    def text(self, key: str) -> str:
+    def string(self, key: str) -> str:
         value = self._find(key)
         if not isinstance(value, str) or not value:
-            raise self._error(key, "a text", value)
+            raise self._error(key, "a string", value)
         return value
 
-    def texts(self, key: str) -> Sequence[str]:
+    def strings(self, key: str) -> Sequence[str]:
         value = self._find(key)
         if not isinstance(value, list) or not all(isinstance(v, str) for v in value):
-            raise self._error(key, "a list of texts", value)
+            raise self._error(key, "a list of strings", value)
         return value
 
     def number(self, key: str, default: float | None = None) -> float:
-        """Return a number; a key that is missing is a fault unless it has a default."""
+        """Return a number; a missing key is an error unless there is a default."""
         value = self._find(key)
         if value is None and default is not None:
             return default
@@ -164,18 +166,18 @@
         return float(value)
 
     def has(self, key: str) -> bool:
-        """Whether a key is there."""
+        """Whether a key is present."""
         return self._find(key) is not None
 
     def positive(self, key: str, default: float | None = None) -> float:
-        """Return a number above zero; a key that is missing is a fault unless it has a default."""
+        """Return a number above zero; a missing key is an error unless there is a default."""
         value = self.number(key, default)
         if value <= 0.0:
             raise self._error(key, "a number above zero", value)
         return value
 
     def flag(self, key: str, *, default: bool) -> bool:
-        """Return true or false; a key that is missing has its default."""
+        """Return a boolean, or the default if the key is missing."""
         value = self._find(key)
         if value is None:
             return default
@@ -185,8 +187,8 @@
 
     def numbers(self, key: str, count: int) -> Sequence[float]:
         value = self._find(key)
-        fits = isinstance(value, list) and len(value) == count
-        if not fits or not all(isinstance(v, (int, float)) for v in value):
+        has_length = isinstance(value, list) and len(value) == count
+        if not has_length or not all(isinstance(v, (int, float)) for v in value):
             raise self._error(key, f"a list of {count} numbers", value)
         return [float(v) for v in value]
 
@@ -196,5 +198,5 @@
             value = value.get(part) if isinstance(value, Mapping) else None
         return value
 
-    def _error(self, key: str, wanted: str, value: Any) -> BootSettingsError:
-        return BootSettingsError(f"{self._source}: {key}: wants {wanted}, not {value!r}")
+    def _error(self, key: str, expected: str, value: Any) -> BootSettingsError:
+        return BootSettingsError(f"{self._source}: {key}: expected {expected}, got {value!r}")
--- a/samphirecleat/platform/_crash_parts.py
+++ b/samphirecleat/platform/_crash_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a node that keep requests from ending one target after another, wired together."""
+"""Sets up the components that stop a request from crashing one target after another."""
 
 import random
 from typing import NamedTuple
@@ -12,23 +12,23 @@
 
 
 class CrashParts(NamedTuple):
-    """What a node sees, what it tells and hears on heartbeats, and what lasts in the log."""
+    """What watches a node's targets, shares crashes by heartbeat and keeps them in the log."""
 
     guard: CrashGuard
-    news: CrashGossip
+    gossip: CrashGossip
     records: CrashRecords
 
 
 def wire_crash_parts(
     log: KeyedLog, board: Blackboard, targets: TargetTable, observer: Observer, rng: random.Random
 ) -> CrashParts:
-    """Return the parts of the node that ``board`` belongs to; nothing is sent yet."""
+    """Return the crash components of the node that owns ``board``; nothing is sent yet."""
 
     def node_count() -> int:
         return len(board.members)
 
     ledger = CrashLedger()
-    news = CrashGossip(ledger, node_count)
+    gossip = CrashGossip(ledger, node_count)
     records = CrashRecords(
         log,
         ledger,
@@ -40,11 +40,11 @@
     guard = CrashGuard(
         board.identity.node_id,
         ledger,
-        news,
+        gossip,
         is_listening,
         lambda start: registration_state(targets, start),
         lambda start: sibling_targets(targets, start),
         records,
         observer,
     )
-    return CrashParts(guard, news, records)
+    return CrashParts(guard, gossip, records)
--- a/samphirecleat/platform/_duty_api.py
+++ b/samphirecleat/platform/_duty_api.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's API whose calls are duties of one node at a time."""
+"""Client of those calls of the platform's API that only the holder of a duty may make."""
 
 import asyncio
 from collections.abc import Mapping
@@ -13,8 +13,8 @@
 from ._answers import RESPONSE_ERRORS
 from ._wire_names import DUTY_FENCING, DUTY_HOLDER, PATH_SCALE, PATH_USAGE
 
-# Of an answer that is no success, the log tells this much.
-TOLD_BYTES: Final = 200
+# Logged part of the body of an unsuccessful response.
+LOGGED_BODY_BYTES: Final = 200
 _REPORT_OUTCOMES: Final[Mapping[int, ReportOutcome]] = {
     200: ReportOutcome.TAKEN,
     400: ReportOutcome.REFUSED,
@@ -30,7 +30,7 @@
 
 
 class DutyApi:
-    """Calls under a fencing number, one at a time and no more a second than all nodes may make."""
+    """Sends calls with a fencing number, one at a time and within the rate limit of the fleet."""
 
     def __init__(
         self,
@@ -39,21 +39,21 @@
         calls_per_s: float,
         observer: Observer,
     ) -> None:
-        """Talk to the API at ``address``."""
-        self._words = observer.log("api")
+        """Send calls to ``address``, at most ``calls_per_s`` per second."""
+        self._log = observer.log("api")
         self._session = session
         self._address = address
-        self._pause_s = 1.0 / calls_per_s
-        self._one_at_a_time = asyncio.Lock()
+        self._interval_s = 1.0 / calls_per_s
+        self._lock = asyncio.Lock()
 
-    def move(self, address: str) -> None:
-        """Talk to the API at another address from now on."""
+    def set_address(self, address: str) -> None:
+        """Use another address for later calls."""
         self._address = address
 
     async def report_usage(
         self, window: int, counts: WindowCounts, holder: Holder, timeout_s: float
     ) -> ReportOutcome:
-        """Send a report once; see :class:`UsageChannel`."""
+        """Send a report once; implements :class:`UsageChannel`."""
         body = {"windowNumber": window, "counts": counts}
         status = await self._call(PATH_USAGE, body, holder, timeout_s)
         return _REPORT_OUTCOMES.get(status, ReportOutcome.UNKNOWN)
@@ -61,8 +61,8 @@
     async def order_spot(
         self, service: str, zone: str, count: int, holder: Holder, timeout_s: float
     ) -> ScaleOutcome:
-        """Order spot targets once; see :class:`ScaleChannel`."""
-        # Named groups; it is the number of targets.
+        """Order spot targets once; implements :class:`ScaleChannel`."""
+        # Despite its name, targetGroups is a number of targets.
         body = {"service": service, "zone": zone, "targetGroups": count, "spot": True}
         status = await self._call(PATH_SCALE, body, holder, timeout_s)
         return _SCALE_OUTCOMES.get(status, ScaleOutcome.UNKNOWN)
@@ -70,17 +70,17 @@
     async def _call(
         self, path: str, body: Mapping[str, Any], holder: Holder, timeout_s: float
     ) -> int:
-        """Return the status of the answer, 0 when there is none.
+        """Return the status of the response, 0 if there is none.
 
-        A call without an answer may still be carried out, seconds later.
+        A call without a response may still take effect seconds later.
         """
         headers = {
             DUTY_HOLDER: holder.node_id,
             DUTY_FENCING: str(holder.fencing_number),
             "Content-Type": "application/json",
         }
-        async with self._one_at_a_time:
-            await asyncio.sleep(self._pause_s)
+        async with self._lock:
+            await asyncio.sleep(self._interval_s)
             try:
                 async with self._session.post(
                     f"http://{self._address}{path}",
@@ -88,10 +88,12 @@
                     data=msgspec.json.encode(body),
                     timeout=aiohttp.ClientTimeout(total=timeout_s),
                 ) as response:
-                    answer = await response.read()
+                    content = await response.read()
             except RESPONSE_ERRORS as error:
-                self._words.warning("%s got no answer: %r", path, error)
+                self._log.warning("%s got no response: %r", path, error)
                 return 0
             if response.status != 200:
-                self._words.warning("%s status=%d %s", path, response.status, answer[:TOLD_BYTES])
+                self._log.warning(
+                    "%s status=%d %s", path, response.status, content[:LOGGED_BODY_BYTES]
+                )
             return response.status
--- a/samphirecleat/platform/_front.py
+++ b/samphirecleat/platform/_front.py
@@ -1,4 +1,4 @@
-"""What callers and trainers meet: calls by routes, and batch jobs, over HTTP."""
+"""Handles the HTTP requests of callers and trainers: routed calls and batch jobs."""
 
 import asyncio
 from collections.abc import Mapping, Sequence
@@ -36,15 +36,16 @@
     WEIGHT_VERSIONS,
 )
 
-# A caller that names no deadline is given this much.
+# Deadline of a call that sets none.
 DEFAULT_DEADLINE_S: Final = 30.0
-LONGEST_WAIT_S: Final = 1.0
-# Statuses that promise that a call has not run and never will.
-_PROMISES: Final = frozenset({408, 421, 429, 503})
+# Upper bound of the time that a read of results waits for new ones.
+MAX_WAIT_S: Final = 1.0
+# Statuses which guarantee that a call has not run and never will.
+_NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 
 
-class Front:
-    """Answers every request that comes to the callers' address."""
+class CallerHandler:
+    """Handles every request at the address for callers."""
 
     def __init__(
         self,
@@ -55,9 +56,10 @@
         authenticator: ApiKeyAuthenticator,
         observer: Observer,
     ) -> None:
-        """Serve by ``routes`` whom ``authenticator`` admits.
+        """Serve callers that ``authenticator`` accepts, by ``routes``.
 
-        ``leaving`` may be set to ask callers to go elsewhere.
+        While ``draining`` is set, connections are closed after their response, so that callers
+        reconnect to another node. ``in_flight`` counts the open requests.
         """
         self._routes = routes
         self._forwarder = forwarder
@@ -65,45 +67,45 @@
         self._steps = steps
         self._authenticator = authenticator
         self._observer = observer
-        self._words = observer.log("front")
-        self.leaving = False
+        self._log = observer.log("front")
+        self.draining = False
         self.in_flight = 0
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Return the response to one request."""
         self.in_flight += 1
-        began_s = asyncio.get_running_loop().time()
+        started_at_s = asyncio.get_running_loop().time()
         try:
-            response = await self._answer(request, began_s)
+            response = await self._dispatch(request, started_at_s)
         except RequestError as error:
-            response = self._refuse(request, error, began_s)
+            response = self._error_response(request, error, started_at_s)
         except asyncio.CancelledError:
-            self._words.info(
-                "request=%s caller left after %.3f s",
+            self._log.info(
+                "request=%s caller disconnected after %.3f s",
                 request.headers.get(REQUEST_ID, ""),
-                asyncio.get_running_loop().time() - began_s,
+                asyncio.get_running_loop().time() - started_at_s,
             )
             raise
         finally:
             self.in_flight -= 1
-        if self.leaving:
+        if self.draining:
             response.force_close()
         return response
 
-    async def _answer(self, request: web.BaseRequest, began_s: float) -> web.StreamResponse:
+    async def _dispatch(self, request: web.BaseRequest, started_at_s: float) -> web.StreamResponse:
         raw_path = request.raw_path
         if raw_path.startswith(PATH_STEP):
-            return await self._step_call(request, raw_path)
+            return await self._handle_step(request, raw_path)
         if raw_path.startswith(PATH_ITEM) and request.method == "GET":
-            return await self._item_call(request, raw_path)
+            return await self._handle_item(request, raw_path)
         host = _host_of(request)
-        route = self._route(host, raw_path)
+        route = self._find_route(host, raw_path)
         workspace = self._workspace(request, anonymous=route.allows_anonymous)
         body = await self._read_body(request)
         request_id = request.headers.get(REQUEST_ID, "")
         if route.kind in (CallKind.ROLLOUT, CallKind.BATCH):
             step = decode_step(request_id, host, raw_path, body, workspace)
-            return await self._submit(step)
+            return await self._submit_step(step)
         call = Call(
             request_id,
             request.method,
@@ -111,29 +113,31 @@
             request.headers.get("Host", ""),
             self._headers(request),
             body,
-            began_s,
-            began_s + _deadline_s(request.headers.get(DEADLINE_MS, "")),
+            started_at_s,
+            started_at_s + _parse_deadline_s(request.headers.get(DEADLINE_MS, "")),
             workspace,
-            self._caller(request, workspace),
+            self._caller_of(request, workspace),
         )
         if route.kind is CallKind.STREAMING:
-            return await self._stream(request, call, route)
+            return await self._relay_stream(request, call, route)
         answer = await self._forwarder.forward(call, route)
-        self._observer.record_s("call", asyncio.get_running_loop().time() - began_s)
-        return _pass_on(answer)
+        self._observer.record_s("call", asyncio.get_running_loop().time() - started_at_s)
+        return _response_from(answer)
 
-    async def _stream(
+    async def _relay_stream(
         self, request: web.BaseRequest, call: Call, route: Route
     ) -> web.StreamResponse:
-        """Pass a stream on; one that can't be ended is cut, so that it never looks whole."""
-        behind = request.headers.get(LAST_EVENT_ID, "")
-        opened = await self._relay.open(call, route, int(behind) if behind.isdigit() else 0)
+        """Relay a stream; a broken one aborts the connection, so that it never looks complete."""
+        last_event_id = request.headers.get(LAST_EVENT_ID, "")
+        opened = await self._relay.open(
+            call, route, int(last_event_id) if last_event_id.isdigit() else 0
+        )
         if isinstance(opened, TargetAnswer):
-            return _pass_on(opened)
+            return _response_from(opened)
         response = web.StreamResponse(status=opened.start.status)
         for name, value in opened.start.headers:
             response.headers.add(name, value)
-        if self.leaving:
+        if self.draining:
             response.force_close()
         try:
             await response.prepare(request)
@@ -141,7 +145,7 @@
             await response.write_eof()
         except StreamBrokenError as error:
             self._observer.counters["streams_cut"] += 1
-            self._words.warning("request=%s stream cut: %s", call.request_id, error)
+            self._log.warning("request=%s stream aborted: %s", call.request_id, error)
             if request.transport is not None:
                 request.transport.abort()
         finally:
@@ -151,7 +155,7 @@
     async def _write_events(
         self, response: web.StreamResponse, stream: RelayedStream, received_at_s: float
     ) -> None:
-        told_version = stream.start.version
+        announced_version = stream.start.version
         first = True
         events = stream.events()
         try:
@@ -160,12 +164,12 @@
                     first = False
                     now_s = asyncio.get_running_loop().time()
                     self._observer.record_s("stream_first_event", now_s - received_at_s)
-                await response.write(_event_bytes(event, told_version))
-                told_version = event.version
+                await response.write(_encode_event(event, announced_version))
+                announced_version = event.version
         finally:
             await events.aclose()
 
-    def _route(self, host: str, raw_path: str) -> Route:
+    def _find_route(self, host: str, raw_path: str) -> Route:
         self._routes.require_config()
         route = self._routes.find(host, raw_path)
         if route is None:
@@ -179,7 +183,7 @@
             raise RequestError(ErrorKind.BODY_TOO_LARGE, str(error)) from error
 
     def _workspace(self, request: web.BaseRequest, *, anonymous: bool) -> str:
-        """Return the name of a caller's workspace, "" for nobody's."""
+        """Return the name of a caller's workspace, "" for an anonymous caller."""
         credentials = request.headers.getall(CREDENTIALS, ())
         return self._authenticator.authenticate(credentials, anonymous=anonymous).name
 
@@ -187,59 +191,59 @@
         anonymous = self._routes.allows_anonymous_steps(_host_of(request))
         return self._workspace(request, anonymous=anonymous)
 
-    def _caller(self, request: web.BaseRequest, workspace: str) -> str:
-        """Return who sends a call: its workspace, or without keys whatever it says of itself."""
+    def _caller_of(self, request: web.BaseRequest, workspace: str) -> str:
+        """Return the caller's identity: its workspace, or without API keys its identity headers."""
         if self._routes.config.requires_keys:
             return workspace
-        said = (request.headers.getall(name, ()) for name in sorted(IDENTITY_HEADERS))
-        return "\n".join(value for values in said for value in values)
+        claimed = (request.headers.getall(name, ()) for name in sorted(IDENTITY_HEADERS))
+        return "\n".join(value for values in claimed for value in values)
 
     def _headers(self, request: web.BaseRequest) -> Sequence[tuple[str, str]]:
-        """Return a caller's headers, without those that say who it is where keys do that."""
+        """Return a caller's headers, without its identity headers if API keys are required."""
         rows = [(k.decode("latin-1"), v.decode("latin-1")) for k, v in request.raw_headers]
         if not self._routes.config.requires_keys:
             return rows
         return [(name, value) for name, value in rows if name.lower() not in IDENTITY_HEADERS]
 
-    async def _submit(self, step: StepRequest) -> web.StreamResponse:
+    async def _submit_step(self, step: StepRequest) -> web.StreamResponse:
         if not step.step_id:
-            raise RequestError(ErrorKind.MALFORMED, f"{REQUEST_ID} is missing")
-        began_s = asyncio.get_running_loop().time()
+            raise RequestError(ErrorKind.MALFORMED, f"{REQUEST_ID} header is missing")
+        started_at_s = asyncio.get_running_loop().time()
         await self._steps.submit(step)
-        took_s = asyncio.get_running_loop().time() - began_s
-        self._observer.record_s("step_accept", took_s)
-        self._words.info("step=%s kept after %.3f s", step.step_id, took_s)
+        elapsed_s = asyncio.get_running_loop().time() - started_at_s
+        self._observer.record_s("step_accept", elapsed_s)
+        self._log.info("step=%s accepted after %.3f s", step.step_id, elapsed_s)
         return web.Response(status=202, headers={REQUEST_ID: step.step_id})
 
-    async def _step_call(self, request: web.BaseRequest, raw_path: str) -> web.StreamResponse:
-        step_id, query = _split(raw_path, PATH_STEP)
+    async def _handle_step(self, request: web.BaseRequest, raw_path: str) -> web.StreamResponse:
+        step_id, query = _split_path(raw_path, PATH_STEP)
         workspace = self._step_workspace(request)
         match request.method:
             case "GET":
-                wait_s = _number(request.headers.get(WAIT_MS, "0"), WAIT_MS) / 1000.0
-                after = _number(query.get("after", "0"), "after")
-                wait_s = min(LONGEST_WAIT_S, wait_s)
+                wait_s = _parse_count(request.headers.get(WAIT_MS, "0"), WAIT_MS) / 1000.0
+                after = _parse_count(query.get("after", "0"), "after")
+                wait_s = min(MAX_WAIT_S, wait_s)
                 page = await self._steps.read(step_id, after, wait_s, workspace)
-                return _json(encode_page(page))
+                return _json_response(encode_page(page))
             case "DELETE":
                 await self._steps.end(step_id, workspace)
-                return _json(b"{}")
+                return _json_response(b"{}")
         raise RequestError(ErrorKind.UNKNOWN_METHOD, f"{request.method} {raw_path}")
 
-    async def _item_call(self, request: web.BaseRequest, raw_path: str) -> web.StreamResponse:
-        step_id, query = _split(raw_path, PATH_ITEM)
+    async def _handle_item(self, request: web.BaseRequest, raw_path: str) -> web.StreamResponse:
+        step_id, query = _split_path(raw_path, PATH_ITEM)
         workspace = self._step_workspace(request)
         body = await self._steps.body(step_id, query.get("id", ""), workspace)
         if body is None:
-            raise RequestError(ErrorKind.UNKNOWN_STEP, f"no such item in {step_id}")
+            raise RequestError(ErrorKind.UNKNOWN_STEP, f"step {step_id} has no such item")
         return web.Response(body=body, content_type="application/octet-stream")
 
-    def _refuse(
-        self, request: web.BaseRequest, error: RequestError, began_s: float
+    def _error_response(
+        self, request: web.BaseRequest, error: RequestError, started_at_s: float
     ) -> web.StreamResponse:
         status = status_of(error)
         self._observer.counters[f"refused_{error.kind.value}"] += 1
-        self._words.warning(
+        self._log.warning(
             "request=%s %s %s status=%d kind=%s ran=%s after=%.3f s detail=%s",
             request.headers.get(REQUEST_ID, ""),
             request.method,
@@ -247,45 +251,45 @@
             status,
             error.kind.value,
             error.ran.value,
-            asyncio.get_running_loop().time() - began_s,
+            asyncio.get_running_loop().time() - started_at_s,
             error.detail,
         )
         headers = {}
         if request_id := request.headers.get(REQUEST_ID, ""):
             headers[REQUEST_ID] = request_id
-        if status in _PROMISES and error.retry_after_s > 0.0:
+        if status in _NOT_RUN_STATUSES and error.retry_after_s > 0.0:
             headers["Retry-After"] = f"{error.retry_after_s:g}"
         return web.json_response(error.body(), status=status, headers=headers)
 
 
 def _host_of(request: web.BaseRequest) -> str:
-    """Return the host that a caller names, without its port."""
+    """Return the host of the ``Host`` header, without the port."""
     return request.headers.get("Host", "").partition(":")[0]
 
 
 def status_of(error: RequestError) -> int:
-    """Return the status of an error, which promises "not run" exactly when that is so."""
+    """Return the HTTP status of an error; it guarantees "not run" only if that is certain."""
     status = error.status
     if error.ran is Ran.NO and status >= 500:
         return 503
-    if error.ran is not Ran.NO and status in _PROMISES:
+    if error.ran is not Ran.NO and status in _NOT_RUN_STATUSES:
         return 502
     return status
 
 
-def _event_bytes(event: StreamEvent, told_version: int) -> bytes:
-    """Return an event as its target wrote it, with its version where that is news.
+def _encode_event(event: StreamEvent, announced_version: int) -> bytes:
+    """Return an event as its target sent it, with its version added if that changed.
 
-    A target that goes on with another's stream names its version in a head which the caller
-    never sees.
+    A target that resumes another target's stream sends its version in response headers, which the
+    caller never receives.
     """
-    named = WEIGHT_VERSIONS.lower().encode() in event.block.lower()
-    if event.version == told_version or named:
+    has_version = WEIGHT_VERSIONS.lower().encode() in event.block.lower()
+    if event.version == announced_version or has_version:
         return event.block + b"\n\n"
     return f"{WEIGHT_VERSIONS.lower()}: {event.version}\n".encode() + event.block + b"\n\n"
 
 
-def _pass_on(answer: TargetAnswer) -> web.StreamResponse:
+def _response_from(answer: TargetAnswer) -> web.StreamResponse:
     response = web.Response(status=answer.status, body=answer.body)
     response.headers.popall("Content-Type", None)
     for name, value in answer.headers:
@@ -293,29 +297,29 @@
     return response
 
 
-def _json(body: bytes) -> web.Response:
+def _json_response(body: bytes) -> web.Response:
     return web.Response(body=body, content_type="application/json")
 
 
-def _split(raw_path: str, prefix: str) -> tuple[str, Mapping[str, str]]:
+def _split_path(raw_path: str, prefix: str) -> tuple[str, Mapping[str, str]]:
     path, _, query = raw_path.partition("?")
     values = parse_qs(query)
     return path.removeprefix(prefix), {name: rows[-1] for name, rows in values.items()}
 
 
-def _number(text: str, name: str) -> int:
-    """Return a whole number that is not negative.
+def _parse_count(text: str, name: str) -> int:
+    """Return the non-negative integer in ``text``.
 
-    :raises RequestError: when the text is none.
+    :raises RequestError: if the text is not one.
     """
     if not text.isdigit():
-        raise RequestError(ErrorKind.MALFORMED, f"{name}: wants a whole number, not {text!r}")
+        raise RequestError(ErrorKind.MALFORMED, f"{name}: expected an integer >= 0, got {text!r}")
     return int(text)
 
 
-def _deadline_s(text: str) -> float:
+def _parse_deadline_s(text: str) -> float:
     try:
         return max(0.0, float(text) / 1000.0) if text else DEFAULT_DEADLINE_S
     except ValueError as error:
-        detail = f"{DEADLINE_MS}: wants milliseconds, not {text!r}"
+        detail = f"{DEADLINE_MS}: expected milliseconds, got {text!r}"
         raise RequestError(ErrorKind.MALFORMED, detail) from error
--- a/samphirecleat/platform/_front_server.py
+++ b/samphirecleat/platform/_front_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server that callers connect to, bounded by the configuration in force."""
+"""The HTTP server for callers, with the limits of the active configuration."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,74 +11,76 @@
 
 from ..serving import CallerLimits, RouteTable
 
-LARGEST_HEADER_BYTES: Final = 65536
-# Callers reuse connections up to the limit's last moment; a server that closes just then
-# would lose the call that crosses its close.
-IDLE_MARGIN_S: Final = 1.0
+MAX_HEADER_BYTES: Final = 65536
+# Added to the idle timeout. Callers reuse connections until the last moment of the timeout; a
+# server that closes at that moment would lose a request that is already on its way.
+KEEPALIVE_MARGIN_S: Final = 1.0
 
-SLOW_HEAD_ANSWER: Final = (
+HEADER_TIMEOUT_RESPONSE: Final = (
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
-class FrontConnection(RequestHandler):
-    """A caller's connection that is closed when a request's head is too long in coming.
+class CallerConnection(RequestHandler):
+    """A caller's connection, closed if the headers of a request take too long to arrive.
 
-    Callers that send a byte now and then would otherwise hold connections until a node has no
-    descriptor left for those who ask properly. The library bounds only how long a connection
-    may say nothing.
+    Otherwise callers that send their headers byte by byte could hold connections until the node
+    has no file descriptors left for other callers. aiohttp limits only how long a connection may
+    be idle.
     """
 
-    __slots__ = ("_head_timeout_s", "_head_timer")
+    __slots__ = ("_header_timeout_s", "_header_timer")
 
-    def __init__(self, server: web.Server, *, head_timeout_s: float, **options: Any) -> None:
-        """Allow ``head_timeout_s`` from the first byte of a head to its last."""
+    def __init__(self, server: web.Server, *, header_timeout_s: float, **options: Any) -> None:
+        """Allow ``header_timeout_s`` from the first byte of the headers to the last."""
         super().__init__(server, **options)
-        self._head_timeout_s = head_timeout_s
-        self._head_timer: asyncio.TimerHandle | None = None
+        self._header_timeout_s = header_timeout_s
+        self._header_timer: asyncio.TimerHandle | None = None
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Drop the timer with the connection."""
-        self._stop_timer()
+        """Cancel the header timer."""
+        self._cancel_timer()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Read on; the timer runs for as long as a head has begun and is not whole."""
+        """Process received data; the timer runs while headers have begun and are incomplete."""
         super().data_received(data)
-        if self._reads_no_head():
-            self._stop_timer()
-        elif self._head_timer is None:
-            self._head_timer = self._loop.call_later(self._head_timeout_s, self._close_slow)
-
-    def _reads_no_head(self) -> bool:
+        if self._has_request():
+            self._cancel_timer()
+        elif self._header_timer is None:
+            self._header_timer = self._loop.call_later(
+                self._header_timeout_s, self._on_header_timeout
+            )
+
+    def _has_request(self) -> bool:
         return self._current_request is not None or bool(self._messages)
 
-    def _stop_timer(self) -> None:
-        if self._head_timer is not None:
-            self._head_timer.cancel()
-            self._head_timer = None
+    def _cancel_timer(self) -> None:
+        if self._header_timer is not None:
+            self._header_timer.cancel()
+            self._header_timer = None
 
-    def _close_slow(self) -> None:
-        self._head_timer = None
-        if self.transport is not None and not self._reads_no_head():
-            self.transport.write(SLOW_HEAD_ANSWER)
+    def _on_header_timeout(self) -> None:
+        self._header_timer = None
+        if self.transport is not None and not self._has_request():
+            self.transport.write(HEADER_TIMEOUT_RESPONSE)
             self.transport.close()
 
 
-class FrontServer(web.Server):
-    """Takes callers' connections; bodies come as they were sent, encoded ones too."""
+class CallerServer(web.Server):
+    """Accepts callers' connections; encoded bodies are passed on without being decoded."""
 
     def __init__(self, handler: Handler, routes: RouteTable) -> None:
-        """Read the limits from ``routes`` for each connection and request."""
+        """Apply the current limits of ``routes`` to each new connection and request."""
         super().__init__(
             handler,
-            request_factory=self._bounded_request,
+            request_factory=self._make_limited_request,
             handler_cancellation=True,
             access_log=None,
-            max_line_size=LARGEST_HEADER_BYTES,
-            max_field_size=LARGEST_HEADER_BYTES,
+            max_line_size=MAX_HEADER_BYTES,
+            max_field_size=MAX_HEADER_BYTES,
             auto_decompress=False,
         )
         self._routes = routes
@@ -88,13 +90,13 @@
         return self._routes.config.limits
 
     def __call__(self) -> RequestHandler:
-        """Return the protocol of a new connection."""
-        idle_s = self._limits.idle_timeout_s + IDLE_MARGIN_S
+        """Return the protocol handler of a new connection."""
+        idle_s = self._limits.idle_timeout_s + KEEPALIVE_MARGIN_S
         options = {**self._kwargs, "keepalive_timeout": idle_s}
-        head_s = self._limits.header_timeout_s
-        return FrontConnection(self, head_timeout_s=head_s, loop=self._loop, **options)
+        header_timeout_s = self._limits.header_timeout_s
+        return CallerConnection(self, header_timeout_s=header_timeout_s, loop=self._loop, **options)
 
-    def _bounded_request(
+    def _make_limited_request(
         self,
         message: RawRequestMessage,
         payload: StreamReader,
--- a/samphirecleat/platform/_job_documents.py
+++ b/samphirecleat/platform/_job_documents.py
@@ -1,4 +1,4 @@
-"""The batch jobs of trainers, read into steps, and their results as JSON."""
+"""Decodes the batch jobs of trainers into steps, and encodes their results as JSON."""
 
 import time
 from base64 import b64decode
@@ -18,26 +18,26 @@
 def decode_step(
     step_id: str, host: str, raw_path: str, body: bytes, workspace: str = ""
 ) -> StepRequest:
-    """Return the step of a submission by a caller of ``workspace``.
+    """Return the step that a caller of ``workspace`` submitted.
 
-    :raises RequestError: when the document is not one, naming the item at fault.
+    :raises RequestError: if the document is malformed; the detail names the invalid item.
     """
     try:
         document = _DECODER.decode(body)
-        rows = document["items"]
-        if not isinstance(rows, list) or not rows:
-            raise ValueError("items: wants a list that is not empty")
+        item_rows = document["items"]
+        if not isinstance(item_rows, list) or not item_rows:
+            raise ValueError("items: expected a non-empty list")
     except RESPONSE_ERRORS as error:
         raise RequestError(ErrorKind.MALFORMED, f"job {step_id}: {error!r}") from error
     items = []
-    for number, row in enumerate(rows):
+    for number, row in enumerate(item_rows):
         try:
-            items.append(_item(row))
+            items.append(_decode_item(row))
         except RESPONSE_ERRORS as error:
             detail = f"job {step_id}: item {number}: {error!r}"
             raise RequestError(ErrorKind.MALFORMED, detail) from error
     if len({item.item_id for item in items}) < len(items):
-        raise RequestError(ErrorKind.MALFORMED, f"job {step_id}: two items with one id")
+        raise RequestError(ErrorKind.MALFORMED, f"job {step_id}: duplicate item id")
     groups = {item.group for item in items}
     try:
         return StepRequest(
@@ -57,38 +57,38 @@
 
 
 def encode_page(page: StepPage) -> bytes:
-    """Return the JSON of some results."""
+    """Return the JSON of a page of results."""
     return msgspec.json.encode(
         {
             "total": page.total,
-            # Named a token; it is the next position to read.
+            # Despite its name, nextToken is the position from which to read on.
             "nextToken": page.next_position,
-            "results": [_result(result) for result in page.results],
+            "results": [_encode_result(result) for result in page.results],
         }
     )
 
 
-def _item(row: Mapping[str, Any]) -> ItemSpec:
+def _decode_item(row: Mapping[str, Any]) -> ItemSpec:
     headers = [(str(name), str(value)) for name, value in row.get("headers", {}).items()]
-    named = {name.lower(): value for name, value in headers}
-    counts = named.get(TOKEN_COUNTS.lower(), "").split(",")
-    prompt, most = (int(counts[0]), int(counts[1])) if len(counts) == 2 else (0, 0)
-    hint = named.get(LENGTH_HINT.lower(), "")
+    by_name = {name.lower(): value for name, value in headers}
+    counts = by_name.get(TOKEN_COUNTS.lower(), "").split(",")
+    prompt_tokens, max_tokens = (int(counts[0]), int(counts[1])) if len(counts) == 2 else (0, 0)
+    length_hint = by_name.get(LENGTH_HINT.lower(), "")
     return ItemSpec(
         str(row["id"]),
         str(row["path"]),
         headers,
         b64decode(row.get("body", ""), validate=True),
-        prompt,
-        # Without counts of its own an item names only the sum of both.
-        most or int(row.get("tokens", 0)),
-        int(float(hint)) if hint.replace(".", "", 1).isdigit() else 0,
+        prompt_tokens,
+        # Without token counts, an item has only the sum of prompt and answer tokens.
+        max_tokens or int(row.get("tokens", 0)),
+        int(float(length_hint)) if length_hint.replace(".", "", 1).isdigit() else 0,
         str(row.get("group", row["id"])),
-        _reward(row.get("scoringEndpoint")),
+        _decode_reward(row.get("scoringEndpoint")),
     )
 
 
-def _reward(row: Mapping[str, Any] | None) -> RewardSpec | None:
+def _decode_reward(row: Mapping[str, Any] | None) -> RewardSpec | None:
     if row is None:
         return None
     return RewardSpec(
@@ -99,7 +99,7 @@
     )
 
 
-def _result(result: ListedResult) -> Mapping[str, Any]:
+def _encode_result(result: ListedResult) -> Mapping[str, Any]:
     item = result.item
     row: dict[str, Any] = {
         "id": item.item_id,
--- a/samphirecleat/platform/_node_duties.py
+++ b/samphirecleat/platform/_node_duties.py
@@ -1,4 +1,4 @@
-"""The duties that a node of this platform may have, wired: services, usage, ordered targets."""
+"""Sets up the duties that a node may hold: services, usage reports and orders of targets."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -19,20 +19,20 @@
 
 
 class PlatformView(NamedTuple):
-    """What a node's duties ask of its view of the platform.
+    """This node's view of the platform, as its duties need it.
 
-    ``sees_targets`` says if the registrations of targets are known as they are now,
-    ``store_answers`` if the store answers this node itself.
+    ``registrations_current`` tells whether the known registrations of targets are up to date,
+    ``store_reachable`` whether the store answers this node directly.
     """
 
     log: KeyedLog
     clock: TrueClock
-    sees_targets: Callable[[], bool]
-    store_answers: Callable[[], bool]
+    registrations_current: Callable[[], bool]
+    store_reachable: Callable[[], bool]
 
 
 class NodeDuties:
-    """Keeps this node's share of the duties that the settings and the configuration name."""
+    """Claims and runs this node's share of the duties, by its settings and the configuration."""
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         view: PlatformView,
         rng: random.Random,
     ) -> None:
-        """Wire the duties; nothing is claimed before :meth:`run`."""
+        """Set up the duties; nothing is claimed before :meth:`run`."""
         self._reports_usage = settings.reports_usage
         if settings.orders_targets:
-            parts = parts._replace(servers=ServerSupply(api, view.sees_targets))
+            parts = parts._replace(servers=ServerSupply(api, view.registrations_current))
         self._services = ServiceDuties(parts)
         self._usage = UsageDuty(
             UsageParts(
@@ -56,7 +56,7 @@
                 ReportTerms(settings.report_window_s, settings.report_due_s),
                 parts.observer,
                 rng,
-                view.store_answers,
+                view.store_reachable,
             )
         )
         self._keeper = DutyKeeper(
@@ -70,23 +70,23 @@
         )
 
     async def run(self) -> None:
-        """Look after the duties for as long as the node lives."""
+        """Claim and run duties until cancelled."""
         await self._keeper.run()
 
     async def hand_over(self) -> None:
-        """Name the next holder of each duty that this node has."""
+        """Hand each duty that this node holds to its next holder."""
         await self._keeper.hand_over()
 
-    def posts(self) -> Mapping[str, int]:
-        """Return the subjects that this node holds, with their fencing numbers."""
+    def held_duties(self) -> Mapping[str, int]:
+        """Return the fencing number of each duty that this node holds, by subject."""
         return self._keeper.posts()
 
-    def runs_services(self) -> bool:
+    def runs_any_service(self) -> bool:
         """Whether this node runs the steps of any service."""
         return not self._services.subjects().keys().isdisjoint(self._keeper.posts())
 
     def _subjects(self) -> Mapping[str, DutyMaker]:
-        """Return the duties that some node must have."""
+        """Return the duties that the fleet must hold, by subject."""
         if not self._reports_usage:
             return self._services.subjects()
         return {**self._services.subjects(), **self._usage.subjects()}
--- a/samphirecleat/platform/_platform_node.py
+++ b/samphirecleat/platform/_platform_node.py
@@ -48,41 +48,43 @@
 from ._crash_parts import wire_crash_parts
 from ._duty_api import DutyApi
 from ._engine_orders import EngineOrders
-from ._front import Front
-from ._front_server import FrontServer
+from ._front import CallerHandler
+from ._front_server import CallerServer
 from ._generation_stream import GenerationStream
 from ._listeners import Listeners
 from ._metadata_store import MetadataStore
 from ._node_duties import NodeDuties, PlatformView
 from ._peer_texts import PeerTextClient
-from ._side_doors import SideDoors
+from ._side_doors import AuxiliaryEndpoints
 from ._target_sessions import TargetSessions
 from ._watches import OperatorWatch, TargetWatch
 from ._wire_names import TOPIC_OPERATOR, TOPIC_TARGETS
 
-# Between nodes: probes of members, and how long a member may leave them unanswered.
-HEARTBEAT_S: Final = 0.15
+# Interval of the heartbeats between nodes, and the silence after which a member is suspected.
+HEARTBEAT_INTERVAL_S: Final = 0.15
 SUSPECT_AFTER_S: Final = 0.5
-HOUSEKEEPING_S: Final = 0.25
-# The store's connection is given up by the kernel after this long without a sign.
-STORE_SILENT_S: Final = 1.0
-# Nothing is ordered by registrations that were confirmed longer ago than this, or so soon after
-# the store was away, when those of live targets may still be missing.
-REGISTRATIONS_FRESH_S: Final = 1.5
-REGISTRATIONS_BACK_S: Final = 3.0
-# A correction of this node's clock that is worth a line in the log.
-CLOCK_MOVED_S: Final = 0.1
-# A leaving node serves this long on, for callers that kept its address: three times the
-# time to live of a directory answer, and the second that it takes to be heard of.
-SERVE_ON_S: Final = 4.2
-END_MARGIN_S: Final = 0.6
+HOUSEKEEPING_INTERVAL_S: Final = 0.25
+# The kernel probes a connection to the store that was idle for this long, and drops it if the
+# probes remain unanswered.
+STORE_KEEPALIVE_IDLE_S: Final = 1.0
+# Targets are ordered only while the registrations were confirmed within this time, and not within
+# the settle time after a store outage, when registrations of live targets may still be missing.
+MAX_REGISTRATIONS_AGE_S: Final = 1.5
+STORE_SETTLE_S: Final = 3.0
+# Corrections of this node's clock above this are logged.
+LOGGED_CLOCK_CORRECTION_S: Final = 0.1
+# A draining node keeps serving for at least this long, because callers may cache its address for
+# three times the TTL of a directory answer, plus one second until the fleet knows that it drains.
+MIN_DRAIN_S: Final = 4.2
+# Part of the grace period that is kept for stopping.
+STOP_MARGIN_S: Final = 0.6
 
 
 class PlatformNode:
-    """One node: wired here, started, and stopped without cutting anything off."""
+    """A node process: creates and connects its components, and starts, drains and stops them."""
 
     def __init__(self, settings: BootSettings) -> None:
-        """Wire the parts; nothing is sent yet."""
+        """Create the components that need no event loop; nothing is sent yet."""
         self.settings = settings
         self._rng = random.Random(secrets.randbits(64))
         self._started_at_ms = int(time.time() * 1000)
@@ -97,40 +99,47 @@
         )
         self.board = Blackboard(identity)
         self.observer = Observer(settings.node_id)
-        self._words = self.observer.log("node")
+        self._log = self.observer.log("node")
         self.routes = RouteTable()
         self.targets = TargetTable(settings.zone, settings.node_id)
         self._listeners = Listeners(self.observer)
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Listen and start following the platform."""
+        """Open the listeners and start the background tasks.
+
+        :raises OSError: if a required address can't be bound.
+        """
         settings = self.settings
         self._clock = TrueClock(asyncio.get_running_loop().time, boot_time_s, time.time)
-        self._session = aiohttp.ClientSession(connector=make_connector(STORE_SILENT_S))
+        self._session = aiohttp.ClientSession(connector=make_connector(STORE_KEEPALIVE_IDLE_S))
         self._sessions = TargetSessions(self.observer)
         self.targets.warm.keep_alive_s = self._sessions.idle_s
         self._store = MetadataStore(
-            self._session, settings.store_address, self._peer_controls, self.observer, self._rng
+            self._session,
+            settings.store_address,
+            self._peer_control_addresses,
+            self.observer,
+            self._rng,
         )
-        self._wire_watches()
+        self._wire_followers()
         self._crashes = wire_crash_parts(
             self._store, self.board, self.targets, self.observer, self._rng
         )
-        self._wire_steps()
+        self._wire_serving()
         self._membership = Membership(
             self.board,
             HeartbeatCodec(settings.store_address),
             self.observer,
-            self._own_row,
-            seeds=self._seeds(),
-            heartbeat_s=HEARTBEAT_S,
+            self._own_member,
+            seeds=self._seed_peer_addresses(),
+            heartbeat_s=HEARTBEAT_INTERVAL_S,
             suspect_after_s=SUSPECT_AFTER_S,
             rng=self._rng,
-            piggyback_sources=[self._crashes.news],
+            piggyback_sources=[self._crashes.gossip],
         )
         await self._listen()
-        for work in (
+        for coroutine in (
             self._membership.drive(),
             self._operator_follower.run(),
             self._meeting_point.run(),
@@ -139,12 +148,12 @@
             self.step_log.run(),
             self._duties.run(),
             self._counter.run(),
-            self._keep_house(),
+            self._run_housekeeping(),
         ):
-            task = asyncio.ensure_future(work)
-            task.add_done_callback(self._note_end)
+            task = asyncio.ensure_future(coroutine)
+            task.add_done_callback(self._log_task_failure)
             self._tasks.append(task)
-        self._words.info(
+        self._log.info(
             "started node=%s incarnation=%s zone=%s front=%s",
             settings.node_id,
             self.board.identity.incarnation,
@@ -153,13 +162,13 @@
         )
 
     def reload(self, settings: BootSettings) -> None:
-        """Take settings that changed while the node runs; addresses to listen at stay."""
+        """Apply changed settings while the node runs; listen addresses stay as they are."""
         changed = [
             name
             for name, old, new in zip(settings._fields, self.settings, settings, strict=True)
             if old != new
         ]
-        self._words.info("settings read again changed=%s", ",".join(changed))
+        self._log.info("settings read again changed=%s", ",".join(changed))
         self.settings = settings._replace(
             front_address=self.settings.front_address,
             ready_address=self.settings.ready_address,
@@ -169,31 +178,35 @@
             metrics_port=self.settings.metrics_port,
         )
         self._store.move(settings.store_address)
-        self._api.move(settings.api_address)
+        self._api.set_address(settings.api_address)
         self._authenticator.rebind(
             fails_closed=settings.keys_fail_closed, revocation_s=settings.key_revocation_s
         )
 
     async def drain(self) -> None:
-        """Hand over the work, serve on while callers may still come, and end what is open."""
-        began_s = asyncio.get_running_loop().time()
-        posts = self._duties.posts()
-        self._words.info("leaving in_flight=%d posts=%s", self.front.in_flight, posts)
+        """Hand over the duties, and keep serving while callers may still use this node's address.
+
+        Returns once requests in flight and log writes are done as well, but no later than
+        ``STOP_MARGIN_S`` before the end of the grace period.
+        """
+        started_at_s = asyncio.get_running_loop().time()
+        duties = self._duties.held_duties()
+        self._log.info("draining in_flight=%d duties=%s", self.front.in_flight, duties)
         self.board.leaving = True
-        self.front.leaving = True
+        self.front.draining = True
         self._membership.announce()
         self._counter.hurry()
         await self._duties.hand_over()
-        serve_until_s = began_s + min(SERVE_ON_S, self.settings.grace_s * 0.6)
-        end_by_s = began_s + self.settings.grace_s - END_MARGIN_S
+        min_end_s = started_at_s + min(MIN_DRAIN_S, self.settings.grace_s * 0.6)
+        max_end_s = started_at_s + self.settings.grace_s - STOP_MARGIN_S
         loop = asyncio.get_running_loop()
-        while loop.time() < end_by_s:
-            if loop.time() >= serve_until_s and not self._busy():
+        while loop.time() < max_end_s:
+            if loop.time() >= min_end_s and not self._has_pending_work():
                 break
             await asyncio.sleep(0.05)
 
     async def stop(self) -> None:
-        """End every task and connection."""
+        """Cancel every task and close every connection."""
         self._membership.announce_exit()
         for task in self._tasks:
             task.cancel()
@@ -201,13 +214,13 @@
         self._store.close()
         await self._sessions.close()
         await self._session.close()
-        self._words.info("stopped")
+        self._log.info("stopped")
 
-    def _busy(self) -> bool:
+    def _has_pending_work(self) -> bool:
         unwritten = self.step_log.unlisted + self._counter.unwritten
         return self.front.in_flight > 0 or unwritten > 0
 
-    def _wire_watches(self) -> None:
+    def _wire_followers(self) -> None:
         self.operator = OperatorWatch(self.routes, self.observer)
         self._operator_follower = TopicFollower(
             self._store, TOPIC_OPERATOR, self.operator.take, self.observer, self._rng
@@ -219,7 +232,7 @@
             self._store, TOPIC_TARGETS, self.target_watch.take, self.observer, self._rng
         )
 
-    def _wire_steps(self) -> None:
+    def _wire_serving(self) -> None:
         exchange = CallExchange(self._sessions)
         self._counter = UsageCounter(
             self._store,
@@ -253,7 +266,7 @@
             fails_closed=self.settings.keys_fail_closed,
             revocation_s=self.settings.key_revocation_s,
         )
-        self.front = Front(
+        self.front = CallerHandler(
             self.routes,
             forwarder,
             relay,
@@ -277,17 +290,17 @@
             self._session, self.settings.api_address, self.settings.api_calls_per_s, self.observer
         )
         view = PlatformView(
-            self._store, self._clock, self._sees_targets, lambda: self._store.reachable
+            self._store, self._clock, self._registrations_are_current, lambda: self._store.reachable
         )
         self._duties = NodeDuties(self.board, self.settings, parts, self._api, view, self._rng)
 
     def _reading_pause_s(self) -> float:
-        return reading_pause_s(len(self.board.members), runs_work=self._duties.runs_services())
+        return reading_pause_s(len(self.board.members), runs_work=self._duties.runs_any_service())
 
     async def _listen(self) -> None:
         settings = self.settings
         listeners = self._listeners
-        doors = SideDoors(
+        endpoints = AuxiliaryEndpoints(
             self._store,
             self.observer,
             self._ready_members,
@@ -295,51 +308,53 @@
             settings.entry_ttl_s,
             self.step_log.texts.cached,
         )
-        await listeners.open(settings.front_address, FrontServer(self.front.handle, self.routes))
-        await listeners.open(settings.ready_address, web.Server(doors.ready, access_log=None))
-        directory = web.Server(doors.directory, access_log=None)
+        await listeners.open(settings.front_address, CallerServer(self.front.handle, self.routes))
+        await listeners.open(settings.ready_address, web.Server(endpoints.ready, access_log=None))
+        directory = web.Server(endpoints.directory, access_log=None)
         await listeners.open(settings.directory_address, directory)
-        await listeners.open(settings.control_address, web.Server(doors.control, access_log=None))
+        await listeners.open(
+            settings.control_address, web.Server(endpoints.control, access_log=None)
+        )
         if settings.metrics_port:
             address = f"{settings.ip_address}:{settings.metrics_port}"
-            await listeners.open_if_free(address, web.Server(doors.metrics, access_log=None))
+            await listeners.open_optional(address, web.Server(endpoints.metrics, access_log=None))
         peer_host, _, peer_port = self.board.identity.peer_address.rpartition(":")
         await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self._membership, local_addr=(peer_host, int(peer_port))
         )
 
-    async def _keep_house(self) -> None:
-        """Bring slow-moving state up to date."""
+    async def _run_housekeeping(self) -> None:
+        """Refresh periodically what no event updates."""
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             self.target_watch.refresh()
             self._crashes.guard.review([m.incarnation for m in self.board.live_members()])
             if self.settings.reports_usage:
-                self._agree_on_time()
+                self._correct_clock()
             await self._sessions.keep(self.targets.targets)
 
-    def _agree_on_time(self) -> None:
-        """Take the time of day that most hosts have; windows of usage are told apart by it."""
+    def _correct_clock(self) -> None:
+        """Set the clock, which decides the usage window of a call, to the median of the fleet."""
         samples = [
             ClockSample(view.member.time_of_day_ms / 1000.0, view.heard_at_s)
             for view in self.board.members.values()
             if view.alive and view.member.time_of_day_ms
         ]
-        moved_s = self._clock.agree(samples)
-        if abs(moved_s) > CLOCK_MOVED_S:
-            self._words.warning("clock corrected by=%.3f s hosts=%d", moved_s, len(samples))
+        correction_s = self._clock.agree(samples)
+        if abs(correction_s) > LOGGED_CLOCK_CORRECTION_S:
+            self._log.warning("clock corrected by=%.3f s hosts=%d", correction_s, len(samples))
 
-    def _sees_targets(self) -> bool:
-        """Whether registrations are known as they are now, and none may only have lapsed."""
+    def _registrations_are_current(self) -> bool:
+        """Whether the registrations are recent and complete enough to order targets by."""
         follower = self._target_follower
-        away_ago_s = boot_time_s() - follower.unavailable_at_s
-        return follower.age_s() <= REGISTRATIONS_FRESH_S and away_ago_s > REGISTRATIONS_BACK_S
+        since_outage_s = boot_time_s() - follower.unavailable_at_s
+        return follower.age_s() <= MAX_REGISTRATIONS_AGE_S and since_outage_s > STORE_SETTLE_S
 
     def _is_ready(self) -> bool:
         caught_up = self._target_follower.caught_up and self._crashes.records.caught_up
         return self.routes.has_config and caught_up and not self.board.leaving
 
-    def _own_row(self) -> Member:
+    def _own_member(self) -> Member:
         identity = self.board.identity
         self._sequence += 1
         return Member(
@@ -362,8 +377,8 @@
     def _ready_members(self) -> Sequence[Member]:
         return [m for m in self.board.live_members() if m.ready and not m.leaving]
 
-    def _peer_controls(self) -> Sequence[str]:
-        """Return the control addresses of the other live nodes; ports are the same for all."""
+    def _peer_control_addresses(self) -> Sequence[str]:
+        """Return the control addresses of the other live nodes; all nodes use the same ports."""
         port = self.settings.control_address.rpartition(":")[2]
         own = self.board.identity.incarnation
         return [
@@ -372,12 +387,12 @@
             if member.incarnation != own and not member.leaving
         ]
 
-    def _seeds(self) -> Sequence[str]:
-        """Return peer addresses on the seeds' hosts."""
+    def _seed_peer_addresses(self) -> Sequence[str]:
+        """Return the peer addresses of the seed hosts, without this host."""
         port = self.settings.peer_ports[0]
         hosts = {seed.rpartition(":")[0] for seed in self.settings.seed_addresses}
         return [f"{host}:{port}" for host in sorted(hosts - {self.settings.ip_address})]
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
+    def _log_task_failure(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
-            self._words.error("a part of the node failed", exc_info=task.exception())
+            self._log.error("a background task of the node failed", exc_info=task.exception())
--- a/samphirecleat/platform/_side_doors.py
+++ b/samphirecleat/platform/_side_doors.py
@@ -1,4 +1,4 @@
-"""The addresses beside the callers': directory, readiness, and the one between nodes."""
+"""HTTP endpoints beside the callers': directory, readiness, metrics and control between nodes."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import Final
@@ -14,14 +14,15 @@
 from ._store_ways import RELAY_PREFIX
 from ._wire_names import PATH_READY, PATH_RESOLVE
 
-# How long callers keep an answer. Some keep it three times as long, and a node that leaves
-# serves on for that time; a short one keeps both short at one small call a second.
-ENTRY_TTL_S: Final = 1.0
-MOST_ADDRESSES: Final = 64
+# Upper bound of the TTL of directory answers. Some callers cache an answer for three times as long,
+# and a draining node keeps serving for that time. A short TTL keeps the drain short and costs each
+# caller one small request per second.
+MAX_ENTRY_TTL_S: Final = 1.0
+MAX_ADDRESSES: Final = 64
 
 
-class SideDoors:
-    """Small interfaces of a node."""
+class AuxiliaryEndpoints:
+    """Request handlers of the directory, readiness, control and metrics addresses."""
 
     def __init__(
         self,
@@ -32,35 +33,38 @@
         entry_ttl_s: float,
         cached_texts: Callable[[Sequence[str]], Mapping[str, bytes]],
     ) -> None:
-        """Offer ``ready_members`` to callers; an empty list is answered with 503."""
+        """Advertise ``ready_members`` to callers, with a TTL of at most ``entry_ttl_s``."""
         self._store = store
         self._observer = observer
         self._ready_members = ready_members
         self._is_ready = is_ready
         self._cached_texts = cached_texts
-        self._entry_ttl_s = min(ENTRY_TTL_S, entry_ttl_s)
+        self._entry_ttl_s = min(MAX_ENTRY_TTL_S, entry_ttl_s)
 
     async def directory(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer which addresses to use."""
+        """Return the addresses that callers should use, those in the caller's zone first.
+
+        Responds with 503 while there is no ready member.
+        """
         if not request.raw_path.startswith(PATH_RESOLVE):
             return web.Response(status=404)
         zone = request.query.get("zone", "")
-        offered = advertised_members(self._ready_members())
-        members = sorted(offered, key=lambda m: (m.zone != zone, m.node_id))
+        advertised = advertised_members(self._ready_members())
+        members = sorted(advertised, key=lambda m: (m.zone != zone, m.node_id))
         if not members:
             return web.Response(status=503)
-        addresses = [member.http_address for member in members[:MOST_ADDRESSES]]
+        addresses = [member.http_address for member in members[:MAX_ADDRESSES]]
         body = msgspec.json.encode({"addresses": addresses, "ttlS": self._entry_ttl_s})
         return web.Response(body=body, content_type="application/json")
 
     async def ready(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer whether this node takes callers."""
+        """Respond with 200 if this node is ready for callers, otherwise with 503."""
         if not request.raw_path.startswith(PATH_READY):
             return web.Response(status=404)
         return web.Response(status=200 if self._is_ready() else 503)
 
     async def control(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Pass a peer's call on to the store, give it texts, or tell this node's metrics."""
+        """Relay a peer's call to the store, or return cached texts or the metrics."""
         if request.raw_path.startswith(RELAY_PREFIX):
             return await self._relay(request)
         if request.raw_path == PATH_TEXTS:
@@ -70,14 +74,14 @@
         return web.Response(status=404)
 
     async def _texts(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Give a peer the texts that this node has in memory."""
+        """Return those of the requested texts that are cached in memory."""
         try:
             return web.Response(body=answer_texts(await request.read(), self._cached_texts))
         except msgspec.MsgspecError as error:
             return web.Response(status=400, text=str(error))
 
     async def metrics(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer with counters and percentiles as text."""
+        """Return counters and percentiles as text."""
         del request
         return web.Response(text=self.metrics_text())
 
--- a/samphirecleat/platform/_wire_names.py
+++ b/samphirecleat/platform/_wire_names.py
@@ -1,4 +1,4 @@
-"""The platform's names of headers and calls, spelled once."""
+"""Names of headers, paths, topics and keys in the platform's protocols."""
 
 from typing import Final
 
@@ -15,12 +15,12 @@
 LENGTH_HINT: Final = "X-Length-Hint"
 WAIT_MS: Final = "X-Wait-Ms"
 CREDENTIALS: Final = "Authorization"
-# Named a tenant; it is the workspace.
+# The platform calls a workspace a tenant.
 WORKSPACE: Final = "X-Tenant"
-# What a caller brings to show who it is, and never reaches a target.
+# Headers by which a caller identifies itself; with API keys they never reach a target.
 IDENTITY_HEADERS: Final = frozenset({CREDENTIALS.lower(), WORKSPACE.lower()})
 
-# Headers that concern one connection only (RFC 9110, 7.6.1) and are never passed on.
+# Headers that apply to a single connection (RFC 9110, 7.6.1) and are never forwarded.
 CONNECTION_HEADERS: Final = frozenset(
     {
         "connection",
@@ -35,7 +35,7 @@
     }
 )
 
-# Who does a duty towards the platform's API, and its fencing number.
+# The holder of a duty that calls the platform's API, and its fencing number.
 DUTY_HOLDER: Final = "X-Duty-Holder"
 DUTY_FENCING: Final = "X-Fencing-Token"
 
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -216,7 +216,7 @@
     ],
 )
 def test_bad_settings_are_named(change: dict[str, object], where: str) -> None:
-    with pytest.raises(BootSettingsError, match=re.escape(f"boot.toml: {where}: wants")):
+    with pytest.raises(BootSettingsError, match=re.escape(f"boot.toml: {where}: expected")):
         decode_boot_settings({**SETTINGS, **change}, "boot.toml")
 
 
@@ -246,7 +246,7 @@
         (as_json({"items": []}), "job id"),
         (as_json({"items": [ITEM, {}]}), "item 1"),
         (as_json({"items": [{**ITEM, "body": "%%"}]}), "item 0"),
-        (as_json({"items": [ITEM, ITEM]}), "one id"),
+        (as_json({"items": [ITEM, ITEM]}), "duplicate item id"),
         (as_json({"items": [{**ITEM, "headers": 3}]}), "item 0"),
         (as_json({"items": [ITEM], "step": {}}), "job id"),
     ],
