--- a/tests/platform/nodes.py
+++ b/tests/platform/nodes.py
@@ -98,7 +98,7 @@
         for process in self._processes.values():
             await process.wait()
 
-    async def end(self, host: str) -> int:
+    async def terminate(self, host: str) -> int:
         """Send one node SIGTERM and return its exit code."""
         self._processes[host].terminate()
         return await self._processes[host].wait()
@@ -127,7 +127,7 @@
         *,
         host: str = "",
         port: int = 0,
-        want: int = 200,
+        status: int = 200,
         body: bytes = b"",
         headers: dict[str, str] | None = None,
     ) -> bytes:
@@ -144,7 +144,7 @@
                         headers={"Host": "h.example", **(headers or {})},
                     ) as response:
                         content = await response.read()
-                        if response.status == want:
+                        if response.status == status:
                             return content
                         seen = response.status, content[:300]
                         assert response.status in (502, 503, 504), seen
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -115,7 +115,7 @@
             services = list(document["services"])  # type: ignore[call-overload]
             services[0] = {**services[0], "scaling": scaling}
             store.put("keyed.op", "config", {**document, "version": 3, "services": services})
-            submit = {"want": 202, "body": job(40), "headers": {"X-Request-Id": "j1"}}
+            submit = {"status": 202, "body": job(40), "headers": {"X-Request-Id": "j1"}}
             await caller.call("POST", "/jobs/1", **submit)  # type: ignore[arg-type]
             await until(lambda: bool(api.orders))
             order = dict(api.orders[0])
--- a/tests/platform/test_keys.py
+++ b/tests/platform/test_keys.py
@@ -55,8 +55,8 @@
             assert first["x-tenant"] == "shop"
             assert "x-tenant" not in second
             assert not {"authorization"} & (first.keys() | second.keys())
-            await caller.call("POST", "/plain/1", want=401, headers=bearer("nobody", "q3"))
-            await caller.call("POST", "/plain/1", want=401, headers={"X-Request-Id": "q4"})
+            await caller.call("POST", "/plain/1", status=401, headers=bearer("nobody", "q3"))
+            await caller.call("POST", "/plain/1", status=401, headers={"X-Request-Id": "q4"})
             assert "q3" not in targets[1].runs
             assert "q4" not in targets[1].runs
             logs = nodes.logs()
@@ -73,18 +73,18 @@
         async with running_nodes(2, tmp_path) as (nodes, caller, store, targets):
             await put_keys(nodes, caller, store, 2, KEYS)
             await caller.call(
-                "POST", "/jobs/1", want=202, body=job(4), headers=bearer("shop-1", "j1")
+                "POST", "/jobs/1", status=202, body=job(4), headers=bearer("shop-1", "j1")
             )
             await put_keys(nodes, caller, store, 3, {**KEYS, "shop": ["shop-2"]})
             calls = [("GET", "/v1/lots/j1?after=0"), ("GET", "/v1/items/j1?id=i0")]
             for method, path in [*calls, ("DELETE", "/v1/lots/j1")]:
                 for host in nodes.hosts:
-                    for headers, want in (
+                    for headers, status in (
                         (bearer("shop-1"), 401),
                         ({}, 401),
                         (bearer("club-1"), 404),
                     ):
-                        await caller.call(method, path, host=host, want=want, headers=headers)
+                        await caller.call(method, path, host=host, status=status, headers=headers)
             rows: list[object] = []
             async with asyncio.timeout(30.0):
                 while len(rows) < 4:
@@ -100,7 +100,7 @@
                 assert not {"authorization"} & (item.keys() | reward.keys())
             # The same id of another workspace is another step, which this node can't keep.
             await caller.call(
-                "POST", "/jobs/1", want=409, body=job(4), headers=bearer("club-1", "j1")
+                "POST", "/jobs/1", status=409, body=job(4), headers=bearer("club-1", "j1")
             )
             await caller.call("DELETE", "/v1/lots/j1", headers=bearer("shop-2"))
 
@@ -122,12 +122,12 @@
             await caller.call("POST", "/plain/1", headers=bearer("shop-1"))
             store.refusing = 503
             await asyncio.sleep(2.0)
-            want = 503 if fails_closed else 200
-            await caller.call("POST", "/plain/1", want=want, headers=bearer("shop-1"))
-            await caller.call("POST", "/plain/1", want=503, headers=bearer("unheard-of"))
+            status = 503 if fails_closed else 200
+            await caller.call("POST", "/plain/1", status=status, headers=bearer("shop-1"))
+            await caller.call("POST", "/plain/1", status=503, headers=bearer("unheard-of"))
             store.refusing = 0
             await caller.call("POST", "/plain/1", headers=bearer("shop-1"))
-            await caller.call("POST", "/plain/1", want=401, headers=bearer("unheard-of"))
+            await caller.call("POST", "/plain/1", status=401, headers=bearer("unheard-of"))
 
     asyncio.run(body())
 
@@ -144,7 +144,7 @@
             await asyncio.sleep(0.5)
             store.refusing = 503
             await asyncio.sleep(1.2)
-            await caller.call("POST", "/plain/1", want=503, headers=bearer("shop-1"))
+            await caller.call("POST", "/plain/1", status=503, headers=bearer("shop-1"))
             store.refusing = 0
             await caller.call("POST", "/plain/1", headers=bearer("shop-1"))
 
--- a/tests/platform/test_node_processes.py
+++ b/tests/platform/test_node_processes.py
@@ -22,7 +22,7 @@
     async def body() -> None:
         async with running_nodes(3, tmp_path) as (nodes, caller, _store, targets):
             await caller.call(
-                "POST", "/jobs/1", want=202, body=job(6), headers={"X-Request-Id": "j1"}
+                "POST", "/jobs/1", status=202, body=job(6), headers={"X-Request-Id": "j1"}
             )
             await nodes.kill_all()
             await nodes.start()
@@ -73,7 +73,7 @@
 def test_a_job_is_kept_once_however_often_and_wherever_it_is_submitted(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_nodes(2, tmp_path) as (nodes, caller, store, _targets):
-            submit = {"want": 202, "body": job(2), "headers": {"X-Request-Id": "j1"}}
+            submit = {"status": 202, "body": job(2), "headers": {"X-Request-Id": "j1"}}
             await caller.call("POST", "/jobs/1", **submit)  # type: ignore[arg-type]
             store.answers = ["lost"]
             await caller.call("POST", "/jobs/1", host=nodes.hosts[1], **submit)  # type: ignore[arg-type]
@@ -93,9 +93,9 @@
             headers = {"X-Request-Id": "q1", "X-Deadline-Ms": "5000"}
             answer = await caller.call("POST", "/plain/1?x=%2F", body=b"quote", headers=headers)
             assert answer == b"answer to q1"
-            await caller.call("POST", "/nowhere/", want=404, headers=headers)
-            await caller.call("GET", "/v1/lots/unknown", want=404)
-            await caller.call("POST", "/jobs/1", want=400, body=b"{", headers=headers)
+            await caller.call("POST", "/nowhere/", status=404, headers=headers)
+            await caller.call("GET", "/v1/lots/unknown", status=404)
+            await caller.call("POST", "/jobs/1", status=400, body=b"{", headers=headers)
 
     asyncio.run(body())
 
@@ -114,13 +114,18 @@
                 while len(await entries(nodes, caller, second, query)) < 2:
                     await asyncio.sleep(0.05)
             await caller.call(
-                "POST", "/jobs/1", host=first, want=202, body=job(2), headers={"X-Request-Id": "j1"}
+                "POST",
+                "/jobs/1",
+                host=first,
+                status=202,
+                body=job(2),
+                headers={"X-Request-Id": "j1"},
             )
             waiting = asyncio.ensure_future(
                 caller.call("GET", "/v1/lots/j1?after=0", host=first, headers={"X-Wait-Ms": "1000"})
             )
             await asyncio.sleep(0.05)
-            ended = asyncio.ensure_future(nodes.end(first))
+            ended = asyncio.ensure_future(nodes.terminate(first))
             async with asyncio.timeout(30.0):
                 while len(await entries(nodes, caller, second, query)) > 1:
                     await asyncio.sleep(0.05)
@@ -142,18 +147,18 @@
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (_nodes, caller, store, _targets):
             headers = {"X-Request-Id": "j1"}
-            await caller.call("POST", "/jobs/1", want=202, body=job(2), headers=headers)
+            await caller.call("POST", "/jobs/1", status=202, body=job(2), headers=headers)
             store.refusing = 503
-            await caller.call("GET", "/v1/lots/unknown", want=503)
+            await caller.call("GET", "/v1/lots/unknown", status=503)
             await caller.call(
-                "POST", "/jobs/2", want=503, body=job(2), headers={"X-Request-Id": "j2"}
+                "POST", "/jobs/2", status=503, body=job(2), headers={"X-Request-Id": "j2"}
             )
             answer = await caller.call("POST", "/plain/1", headers={"X-Request-Id": "q1"})
             assert answer == b"answer to q1"
-            await caller.call("POST", "/jobs/1", want=202, body=job(2), headers=headers)
+            await caller.call("POST", "/jobs/1", status=202, body=job(2), headers=headers)
             store.refusing = 0
             await caller.call(
-                "POST", "/jobs/2", want=202, body=job(2), headers={"X-Request-Id": "j2"}
+                "POST", "/jobs/2", status=202, body=job(2), headers={"X-Request-Id": "j2"}
             )
 
     asyncio.run(body())
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -170,7 +170,7 @@
 
     async def term(self) -> None:
         host = self.rng.choice(self.nodes.hosts)
-        ending = asyncio.ensure_future(self.nodes.end(host))
+        ending = asyncio.ensure_future(self.nodes.terminate(host))
         await asyncio.wait([ending], timeout=12.0)
         await self.nodes.start_one(host)
 
