--- a/samphirecleat/platform/_front.py
+++ b/samphirecleat/platform/_front.py
@@ -145,7 +145,7 @@
             await response.write_eof()
         except StreamBrokenError as error:
             self._observer.counters["streams_cut"] += 1
-            self._log.warning("request=%s stream aborted: %s", call.request_id, error)
+            self._log.warning("request=%s stream cut: %s", call.request_id, error)
             if request.transport is not None:
                 request.transport.abort()
         finally:
@@ -212,7 +212,7 @@
         await self._steps.submit(step)
         elapsed_s = asyncio.get_running_loop().time() - started_at_s
         self._observer.record_s("step_accept", elapsed_s)
-        self._log.info("step=%s accepted after %.3f s", step.step_id, elapsed_s)
+        self._log.info("step=%s kept after %.3f s", step.step_id, elapsed_s)
         return web.Response(status=202, headers={REQUEST_ID: step.step_id})
 
     async def _handle_step(self, request: web.BaseRequest, raw_path: str) -> web.StreamResponse:
--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Contract tests of the platform clients."""
+"""Tests of the platform's clients, documents and nodes."""
--- a/tests/platform/nodes.py
+++ b/tests/platform/nodes.py
@@ -1,4 +1,4 @@
-"""Real node processes on loopback, each with an address of its own and the same ports."""
+"""Runs node processes on loopback, each at its own address with the same ports."""
 
 import asyncio
 import json
@@ -17,11 +17,11 @@
 from .standin_targets import TargetStandIn
 
 REPOSITORY = Path(__file__).parents[2]
-WAIT_S = 30.0
+TIMEOUT_S = 30.0
 
 
 class Nodes:
-    """Node processes over one stand-in store; can be killed and started again."""
+    """Node processes that share one stand-in store; they can be killed and restarted."""
 
     def __init__(self, count: int, folder: Path, store: StoreStandIn) -> None:
         ports = [free_port() for _ in range(5)]
@@ -31,8 +31,8 @@
             f"127.{96 + number}.{(pid >> 8) & 255}.{pid & 255}" for number in range(count)
         ]
         self.seeds = self.hosts[:3]
-        self.more_bounds = ""
-        self.more_tables = ""
+        self.extra_bounds = ""
+        self.extra_tables = ""
         self._folder = folder
         self._store = store
         self._processes: dict[str, asyncio.subprocess.Process] = {}
@@ -57,10 +57,10 @@
 leaseDurationMs = 300
 ttl_max_s = 5
 statusS = 120
-{self.more_bounds}
+{self.extra_bounds}
 [platform]
 address = "{self._store.address}"
-{self.more_tables}
+{self.extra_tables}
 """
 
     async def start(self) -> None:
@@ -69,7 +69,7 @@
             await self.start_one(host)
 
     async def start_one(self, host: str) -> None:
-        """Start a node that does not run."""
+        """Start a node that is not running."""
         path = self._folder / f"{host}.toml"
         path.write_text(self.settings(host))
         with (self._folder / f"{host}.log").open("ab") as log:
@@ -84,14 +84,14 @@
             )
 
     async def kill(self, host: str) -> None:
-        """Kill one node and wait for its end."""
+        """Kill one node and wait until it has exited."""
         process = self._processes[host]
         if process.returncode is None:
             process.kill()
         await process.wait()
 
     async def kill_all(self, number: int = signal.SIGKILL) -> None:
-        """Send every process a signal at once and wait for its end."""
+        """Send every process a signal at once, and wait until all have exited."""
         for process in self._processes.values():
             if process.returncode is None:
                 process.send_signal(number)
@@ -104,17 +104,17 @@
         return await self._processes[host].wait()
 
     def write_settings(self, host: str, text: str) -> None:
-        """Change a node's settings file and tell it so."""
+        """Replace a node's settings file and send SIGHUP."""
         (self._folder / f"{host}.toml").write_text(text)
         self._processes[host].send_signal(signal.SIGHUP)
 
     def logs(self) -> str:
-        """Return what the nodes wrote, for a failed test."""
+        """Return the end of each node's log, for the message of a failed test."""
         return "\n".join(path.read_text()[-4000:] for path in self._folder.glob("*.log"))
 
 
 class Caller:
-    """Calls nodes as the platform's clients do, trying again while a node can't answer."""
+    """Calls nodes as the platform's clients do, retrying connection errors and 502, 503 and 504."""
 
     def __init__(self, session: aiohttp.ClientSession, nodes: Nodes) -> None:
         self._session = session
@@ -131,9 +131,9 @@
         body: bytes = b"",
         headers: dict[str, str] | None = None,
     ) -> bytes:
-        """Return the body of the first answer with the wanted status."""
-        seen: object = None
-        async with asyncio.timeout(WAIT_S):
+        """Return the body of the first response with the expected status."""
+        last_result: object = None
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 address = f"{host or self._nodes.hosts[0]}:{port or self._nodes.front}"
                 try:
@@ -146,10 +146,10 @@
                         content = await response.read()
                         if response.status == status:
                             return content
-                        seen = response.status, content[:300]
-                        assert response.status in (502, 503, 504), seen
+                        last_result = response.status, content[:300]
+                        assert response.status in (502, 503, 504), last_result
                 except aiohttp.ClientError as error:
-                    seen = error
+                    last_result = error
                 await asyncio.sleep(0.05)
 
 
@@ -162,7 +162,7 @@
     bounds: str = "",
     tables: str = "",
 ) -> AsyncIterator[tuple[Nodes, Caller, StoreStandIn, list[TargetStandIn]]]:
-    """Start a store, an engine, a scoring service and nodes; end them all after."""
+    """Start a store, an engine, a scoring service and nodes; stop them all afterwards."""
     store = StoreStandIn()
     await store.start()
     targets = [TargetStandIn("e-1", events=8, pause_s=0.02), TargetStandIn("p-1")]
@@ -170,10 +170,10 @@
         await target.start()
     store.put("keyed.op", "config", config_document())
     for target, service in zip(targets, ("engine", "plain"), strict=True):
-        store.put("keyed.servers", target.instance, _entry(target, service))
+        store.put("keyed.servers", target.instance, _registration(target, service))
     nodes = Nodes(count, folder, store)
     nodes.seeds = nodes.seeds if seeds is None else seeds
-    nodes.more_bounds, nodes.more_tables = bounds, tables
+    nodes.extra_bounds, nodes.extra_tables = bounds, tables
     await nodes.start()
     try:
         async with aiohttp.ClientSession() as session:
@@ -188,7 +188,7 @@
 def job(items: int, prefix: str = "") -> bytes:
     """Return a batch job whose items are scored by the plain service.
 
-    Items of one name share their text over all jobs; a ``prefix`` keeps them apart.
+    Items with the same id share their text across jobs; a ``prefix`` makes the ids distinct.
     """
     rows = [
         {
@@ -213,9 +213,9 @@
 
 
 def config_with_keys(version: int, keys: dict[str, list[str]]) -> dict[str, object]:
-    """Return the configuration with workspaces by name; calls to ``/open/`` need no key."""
+    """Return the configuration with API keys by workspace; calls to ``/open/`` need no key."""
     document = {**config_document(), "version": version}
-    document["tenants"] = [{"name": name, "apiKeys": held} for name, held in keys.items()]
+    document["tenants"] = [{"name": name, "apiKeys": api_keys} for name, api_keys in keys.items()]
     routes = list(document["routes"])  # type: ignore[call-overload]
     plain = next(route for route in routes if route["name"] == "plain")
     routes.append({**plain, "name": "open", "pathPrefix": "/open/", "allowAnonymous": True})
@@ -265,7 +265,7 @@
 
 
 def _stream_routes() -> list[dict[str, object]]:
-    """Return routes that stream from the engine; only the first may be gone on with."""
+    """Return routes that stream from the engine; only streams of the first can be resumed."""
     return [
         {
             "name": prefix,
@@ -282,7 +282,7 @@
     ]
 
 
-def _entry(target: TargetStandIn, service: str) -> dict[str, object]:
+def _registration(target: TargetStandIn, service: str) -> dict[str, object]:
     return {
         "service": service,
         "address": target.address,
--- a/tests/platform/standin_api.py
+++ b/tests/platform/standin_api.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's API whose calls are duties of one node at a time."""
+"""A stand-in of the platform's API whose calls only the holder of a duty may make."""
 
 from aiohttp import web
 
@@ -6,10 +6,11 @@
 
 
 class ApiStandIn(StandInServer):
-    """Takes usage reports and orders of targets, and checks their fencing numbers.
+    """Accepts usage reports and orders of targets, and checks their fencing numbers.
 
-    ``answers`` says what becomes of the next calls: a status, with nothing done, or ``lost``: done,
-    and the connection closes without an answer. ``broken`` lists what must never happen.
+    ``answers`` sets the outcome of the next calls: a status is returned without any effect;
+    ``lost`` executes the call and closes the connection without a response. ``violations`` lists
+    violations of the protocol.
     """
 
     def __init__(self) -> None:
@@ -18,8 +19,8 @@
         self.orders: list[dict[str, object]] = []
         self.holders: list[tuple[str, int]] = []
         self.answers: list[str | int] = []
-        self.broken: list[str] = []
-        self._fences: dict[str, int] = {}
+        self.violations: list[str] = []
+        self._highest_fences: dict[str, int] = {}
         self._holder_of: dict[tuple[str, int], str] = {}
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
@@ -27,19 +28,19 @@
         router.add_post("/scale", self._scale)
 
     def _admit(self, request: web.Request, subject: str) -> bool:
-        """Whether a call's fencing number is not below one that was seen."""
+        """Record a call's holder; return whether no higher fencing number was seen before."""
         holder = request.headers["X-Duty-Holder"]
         fence = int(request.headers["X-Fencing-Token"])
         self.holders.append((holder, fence))
         if self._holder_of.setdefault((subject, fence), holder) != holder:
-            self.broken.append(f"two holders of {subject} with number {fence}")
-        if fence < self._fences.get(subject, -1):
+            self.violations.append(f"two holders of {subject} with fencing number {fence}")
+        if fence < self._highest_fences.get(subject, -1):
             return False
-        self._fences[subject] = fence
+        self._highest_fences[subject] = fence
         return True
 
     async def _answer(self, request: web.Request, subject: str) -> tuple[web.Response, bool]:
-        """Return the answer to a call, and whether it is carried out."""
+        """Return the response to a call, and whether the call takes effect."""
         answer = self.answers.pop(0) if self.answers else ""
         if isinstance(answer, int):
             return web.Response(status=answer), False
@@ -52,16 +53,16 @@
 
     async def _usage(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
-        response, done = await self._answer(request, "usage")
-        if done:
+        response, executed = await self._answer(request, "usage")
+        if executed:
             window, counts = body["windowNumber"], body["counts"]
             if self.reports.setdefault(window, counts) != counts:
-                self.broken.append(f"two reports of window {window}")
+                self.violations.append(f"two reports of window {window}")
         return response
 
     async def _scale(self, request: web.Request) -> web.StreamResponse:
         body = await request.json()
-        response, done = await self._answer(request, f"scale {body['service']} {body['zone']}")
-        if done:
+        response, executed = await self._answer(request, f"scale {body['service']} {body['zone']}")
+        if executed:
             self.orders.append(body)
         return response
--- a/tests/platform/standin_ending.py
+++ b/tests/platform/standin_ending.py
@@ -1,4 +1,4 @@
-"""Stand-in targets whose process ends when it begins to run a certain call."""
+"""Stand-in targets whose process crashes when it starts to run a certain call."""
 
 import asyncio
 from collections.abc import AsyncIterator, Sequence
@@ -9,31 +9,31 @@
 from .standin_store import StoreStandIn
 from .standin_targets import TargetStandIn
 
-BACK_AFTER_S = 0.5
+RESTART_DELAY_S = 0.5
 
 
-class EndingTarget(TargetStandIn):
-    """A target that ends on calls whose path begins with ``ends_on``, and is back after a while.
+class CrashingTarget(TargetStandIn):
+    """A target that crashes on calls whose path starts with ``crash_path``, and restarts later.
 
-    Each start is another instance at the same address, registered anew. ``ended_under`` holds the
-    id of each call that ended it. A call to ``/plain/slow`` runs until ``go_on`` is set.
+    Each start registers a new instance at the same address. ``crash_request_ids`` holds the id of
+    each call that crashed it. A call to ``/plain/slow`` runs until ``go_on`` is set.
     """
 
     def __init__(
-        self, name: str, store: StoreStandIn, ends_on: str, *, service: str = "plain"
+        self, name: str, store: StoreStandIn, crash_path: str, *, service: str = "plain"
     ) -> None:
         super().__init__(f"{name}-1")
         self.name = name
         self.store = store
-        self.ends_on = ends_on
+        self.crash_path = crash_path
         self.service = service
         self.starts = 1
-        self.ended_under: list[str] = []
+        self.crash_request_ids: list[str] = []
         self.slow_calls = 0
         self._tasks: list[asyncio.Task[None]] = []
 
     async def register(self) -> None:
-        """Start, and write the registration."""
+        """Start and write the registration."""
         await self.start(int(self.address.rpartition(":")[2] or 0))
         self.store.put("keyed.servers", self.instance, self.entry())
 
@@ -50,12 +50,12 @@
             "born": self.starts,
         }
 
-    def end(self) -> None:
-        """End now, with all that runs here, and start again later."""
-        self._tasks.append(asyncio.ensure_future(self._end()))
+    def crash(self) -> None:
+        """Crash now, with all running calls, and restart later."""
+        self._tasks.append(asyncio.ensure_future(self._restart_later()))
 
     async def close(self) -> None:
-        """End for good."""
+        """Stop without restarting."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -63,20 +63,20 @@
 
     async def _call(self, request: web.Request) -> web.StreamResponse:
         body = await request.read()
-        ours = request.headers.get("X-Expect-Instance") == self.instance
-        if ours and request.raw_path.startswith(self.ends_on):
+        addressed = request.headers.get("X-Expect-Instance") == self.instance
+        if addressed and request.raw_path.startswith(self.crash_path):
             self.seen.append((request.method, request.raw_path, dict(request.headers), body))
-            self.ended_under.append(request.headers.get("X-Request-Id", ""))
-            self.end()
+            self.crash_request_ids.append(request.headers.get("X-Request-Id", ""))
+            self.crash()
             await asyncio.Event().wait()
-        if ours and request.raw_path.startswith("/plain/slow"):
+        if addressed and request.raw_path.startswith("/plain/slow"):
             self.slow_calls += 1
             await self.go_on.wait()
         return await super()._call(request)
 
-    async def _end(self) -> None:
+    async def _restart_later(self) -> None:
         await self.stop()
-        await asyncio.sleep(BACK_AFTER_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         self.store.put("keyed.servers", self.instance, None)
         self.starts += 1
         self.instance = f"{self.name}-{self.starts}"
@@ -84,12 +84,12 @@
 
 
 @asynccontextmanager
-async def ending_targets(
-    store: StoreStandIn, count: int, ends_on: str, *, service: str = "plain"
-) -> AsyncIterator[Sequence[EndingTarget]]:
-    """Put targets that end on a call in place of those of a service."""
+async def crashing_targets(
+    store: StoreStandIn, count: int, crash_path: str, *, service: str = "plain"
+) -> AsyncIterator[Sequence[CrashingTarget]]:
+    """Replace the targets of a service by ones that crash on a call."""
     targets = [
-        EndingTarget(f"x{number}", store, ends_on, service=service) for number in range(count)
+        CrashingTarget(f"x{number}", store, crash_path, service=service) for number in range(count)
     ]
     store.put("keyed.servers", "p-1" if service == "plain" else "e-1", None)
     for target in targets:
--- a/tests/platform/test_callers_streams.py
+++ b/tests/platform/test_callers_streams.py
@@ -1,4 +1,4 @@
-"""Streams and slow callers at a real node process, over loopback."""
+"""Streams and slow callers at a node process, over loopback."""
 
 import asyncio
 from pathlib import Path
@@ -12,20 +12,20 @@
 
 
 async def read_stream(nodes: Nodes, path: str) -> tuple[bytes, bool]:
-    """Return what came of a stream, and whether it ended as whole."""
+    """Return the received part of a stream, and whether it ended properly."""
     url = f"http://{nodes.hosts[0]}:{nodes.front}{path}"
     headers = {"Host": "h.example", "X-Request-Id": "q1", "X-Deadline-Ms": "4000"}
-    seen = b""
+    received = b""
     async with aiohttp.ClientSession() as session:
         try:
             async with session.post(url, headers=headers, data=b"p") as response:
                 assert response.status == 200
                 assert response.headers["X-Server-Stamp"] == "e-1.q1"
                 async for chunk in response.content.iter_any():
-                    seen += chunk
+                    received += chunk
         except aiohttp.ClientError:
-            return seen, False
-    return seen, True
+            return received, False
+    return received, True
 
 
 def event_text(first: int, last: int) -> bytes:
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "answers", "last_event", "whole"),
+    ("path", "answers", "last_event", "complete"),
     [
         ("/run/1", [], EVENTS, True),
         ("/run/1", ["cut"], EVENTS, True),
@@ -44,29 +44,29 @@
     ],
     ids=["no fault", "broken within an event", "not begun", "once", "once and broken"],
 )
-def test_a_callers_stream(
-    path: str, answers: list[str | int], last_event: int, whole: bool, tmp_path: Path
+def test_stream_is_resumed_or_aborted(
+    path: str, answers: list[str | int], last_event: int, complete: bool, tmp_path: Path
 ) -> None:
     """An engine crashes in the middle of an event.
 
-    Where the route allows it the caller gets the rest from another run. Where not, its
-    connection breaks off behind the last whole event; ended properly, half a draft would
-    look like a whole one.
+    If the route is resumable, the caller gets the rest from another engine. Otherwise its
+    connection is aborted after the last complete event: if it ended properly, half of a result
+    would look complete.
     """
 
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (nodes, caller, _store, targets):
             await caller.call("GET", "/v1/readiness", port=nodes.ready)
             targets[0].answers = list(answers)
-            assert await read_stream(nodes, path) == (event_text(1, last_event), whole), (
+            assert await read_stream(nodes, path) == (event_text(1, last_event), complete), (
                 nodes.logs()
             )
 
     asyncio.run(body())
 
 
-def test_events_are_passed_on_as_they_are_made(tmp_path: Path) -> None:
-    """A caller leaves a stream whose first event is late, although its engine was in time."""
+def test_events_are_relayed_without_buffering(tmp_path: Path) -> None:
+    """Guards against buffered events: callers abandon a stream whose first event is late."""
 
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (nodes, caller, _store, targets):
@@ -83,7 +83,7 @@
     asyncio.run(body())
 
 
-def test_an_engine_stops_when_the_caller_has_left(tmp_path: Path) -> None:
+def test_engine_stops_when_caller_disconnects(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (nodes, caller, _store, targets):
             await caller.call("GET", "/v1/readiness", port=nodes.ready)
@@ -99,17 +99,17 @@
     asyncio.run(body())
 
 
-def test_a_caller_that_never_ends_its_head_is_told_so_and_cut_off(tmp_path: Path) -> None:
-    """A caller sends a byte of its head now and then, and holds its connection for good.
+def test_endless_headers_get_408_and_connection_is_closed(tmp_path: Path) -> None:
+    """A caller sends its headers byte by byte and holds its connection forever.
 
-    Enough of them take all descriptors of a node, which then serves nobody.
+    Enough such callers use up the file descriptors of a node, which then serves no one.
     """
 
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (nodes, caller, _store, _targets):
             await caller.call("GET", "/v1/readiness", port=nodes.ready)
             reader, writer = await asyncio.open_connection(nodes.hosts[0], nodes.front)
-            sending = asyncio.ensure_future(drip(writer))
+            sending = asyncio.ensure_future(send_endless_headers(writer))
             try:
                 async with asyncio.timeout(10.0):
                     answer = await reader.read()
@@ -122,8 +122,8 @@
     asyncio.run(body())
 
 
-async def drip(writer: asyncio.StreamWriter) -> None:
-    """Send a head that never ends, a byte at a time."""
+async def send_endless_headers(writer: asyncio.StreamWriter) -> None:
+    """Send request headers that never end, one byte at a time."""
     writer.write(b"GET /plain/1 HTTP/1.1\r\nHost: h.example\r\nX-Odd: ")
     while not writer.is_closing():
         writer.write(b"a")
--- a/tests/platform/test_clients.py
+++ b/tests/platform/test_clients.py
@@ -1,4 +1,4 @@
-"""Contract of the log and host list clients, against stand-ins and broken answers."""
+"""Contract of the log and host list clients, with stand-ins and malformed responses."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -23,17 +23,17 @@
 RECORD = {"type": "other"}
 
 
-class BrokenServer(StandInServer):
-    """Answers every request with one status and body."""
+class FixedResponseServer(StandInServer):
+    """Answers every request with the same status and body."""
 
     def __init__(self, status: int, body: str) -> None:
-        """Answer with ``body`` as JSON, whether it is any or not."""
+        """Answer with ``body`` as JSON, valid or not."""
         super().__init__()
         self.status = status
         self.body = body
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Take every path."""
+        """Handle every path."""
         router.add_route("*", "/{path:.*}", self._answer)
 
     async def _answer(self, _request: web.Request) -> web.StreamResponse:
@@ -76,10 +76,10 @@
 
 
 @pytest.mark.parametrize("fault", APPENDS)
-def test_what_an_append_says_of_itself(fault: str) -> None:
-    """The log is down, slow, or over its rate, or takes a record and loses the answer.
+def test_append_outcome(fault: str) -> None:
+    """The log is down, slow, over its rate limit, or loses the response to an append.
 
-    Called "not appended" wrongly, the record would be appended a second time.
+    Guards against a wrong NOT_APPENDED, after which the record would be appended twice.
     """
     log = faulty_log(fault)
 
@@ -105,9 +105,9 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_a_malformed_answer_is_a_failure_with_its_kind(name: str) -> None:
-    """Something between the two ends answers in the platform's place."""
-    server = BrokenServer(*MALFORMED[name])
+def test_malformed_response_is_reported_as_failure(name: str) -> None:
+    """A proxy answers in the platform's place."""
+    server = FixedResponseServer(*MALFORMED[name])
 
     async def work(session: aiohttp.ClientSession, url: str) -> AppendOutcome:
         log = HttpLog(session, url)
@@ -122,8 +122,8 @@
     assert serve(server, work) is expected
 
 
-def test_nothing_listens_at_the_address() -> None:
-    """A refused connection is the one loss that proves that nothing was appended."""
+def test_connection_refused() -> None:
+    """A refused connection proves that nothing was appended; no other connection error does."""
 
     async def work(session: aiohttp.ClientSession, url: str) -> AppendOutcome:
         await server.stop()
@@ -139,8 +139,8 @@
 
 
 @pytest.mark.parametrize("fault", ["down", "slow"])
-def test_a_read_that_gets_no_answer_ends(fault: str) -> None:
-    """A reader that waited for good would never hear of a new configuration."""
+def test_read_without_response_times_out(fault: str) -> None:
+    """Guards against a read that never returns: its reader would miss new configurations."""
 
     async def work(session: aiohttp.ClientSession, url: str) -> None:
         with pytest.raises(LogUnavailableError):
@@ -149,7 +149,7 @@
     serve(faulty_log(fault), work)
 
 
-def test_a_read_says_what_was_trimmed() -> None:
+def test_read_reports_trimmed_records() -> None:
     log = StandInLog()
 
     async def work(session: aiohttp.ClientSession, url: str) -> None:
@@ -164,7 +164,7 @@
     serve(log, work)
 
 
-def test_a_waiting_read_is_woken_by_an_append() -> None:
+def test_append_wakes_waiting_read() -> None:
     async def work(session: aiohttp.ClientSession, url: str) -> None:
         client = HttpLog(session, url)
         waiting = asyncio.ensure_future(client.read("config", 0, 30.0))
@@ -175,8 +175,8 @@
     serve(StandInLog(), work)
 
 
-def test_patience_grows_while_the_log_is_slow_and_shrinks_slowly() -> None:
-    """The log is slow for a long time; a silent connection must be given up soon otherwise."""
+def test_read_timeout_grows_while_log_is_slow_and_shrinks_slowly() -> None:
+    """The read timeout is long only while the log is slow, so that dead connections fail soon."""
     log = faulty_log("down")
 
     async def work(session: aiohttp.ClientSession, url: str) -> None:
@@ -193,7 +193,7 @@
     serve(log, work)
 
 
-def test_the_host_list_lags_and_marks_the_leaving() -> None:
+def test_host_list_lags_and_marks_leaving_hosts() -> None:
     hosts = StandInHostList(lag_s=3600.0)
     hosts.put(HostRow("10.0.0.1:1", "asesor", "ar-centro-a", "leaving"), at_once=True)
     hosts.put(HostRow("10.0.0.2:1", "asesor", "ar-centro-b"))
--- a/tests/platform/test_crashing_calls.py
+++ b/tests/platform/test_crashing_calls.py
@@ -1,4 +1,4 @@
-"""Requests that end the targets that run them, sent again with new ids at other nodes."""
+"""Requests that crash the targets that run them, resent with new ids at other nodes."""
 
 import asyncio
 from collections.abc import Sequence
@@ -8,14 +8,15 @@
 import pytest
 
 from .nodes import Caller, Nodes, config_document, config_with_keys, running_nodes
-from .standin_ending import EndingTarget, ending_targets
-
-# What all nodes in touch may take to hear of something.
-TOUCH_S = 3.0
-FREE = 3
-RETRIES = 3
-NO_ANSWER = (502, 503, 504)
-POISON = "/plain/poison"
+from .standin_ending import CrashingTarget, crashing_targets
+
+# Time within which every connected node learns of a crash.
+GOSSIP_S = 3.0
+# Crashes that are needed before a request is refused, and the most that retries may add.
+CRASH_LIMIT = 3
+MAX_LATER_CRASHES = 3
+GATEWAY_ERRORS = (502, 503, 504)
+CRASH_PATH = "/plain/poison"
 BODY = b"the same body"
 
 
@@ -24,10 +25,10 @@
     nodes: Nodes,
     number: int,
     *,
-    path: str = POISON,
+    path: str = CRASH_PATH,
     key: str = "",
 ) -> int:
-    """Send the same request with a new id at one node in turn; return the status."""
+    """Send the same request with a new id to the nodes in turn; return the status."""
     host = nodes.hosts[number % len(nodes.hosts)]
     headers = {"Host": "h.example", "X-Request-Id": f"again-{number}", "X-Deadline-Ms": "2000"}
     if key:
@@ -38,149 +39,149 @@
         return response.status
 
 
-async def ready(nodes: Nodes, caller: Caller) -> None:
+async def await_ready(nodes: Nodes, caller: Caller) -> None:
     """Wait until every node serves."""
     for host in nodes.hosts:
         await caller.call("POST", "/plain/1", host=host, headers={"X-Request-Id": f"r-{host}"})
 
 
-def ended(targets: Sequence[EndingTarget]) -> int:
-    """Return how often a target ended under the request."""
-    return sum(len(target.ended_under) for target in targets)
+def crash_count(targets: Sequence[CrashingTarget]) -> int:
+    """Return how often the request crashed a target."""
+    return sum(len(target.crash_request_ids) for target in targets)
 
 
-def under_way(targets: Sequence[EndingTarget]) -> int:
-    """Return how many slow calls began to run at targets since they were last counted."""
+def slow_call_count(targets: Sequence[CrashingTarget]) -> int:
+    """Return how many slow calls targets have started since the counters were reset."""
     return sum(target.slow_calls for target in targets)
 
 
-async def end_three(
+async def crash_targets(
     session: aiohttp.ClientSession,
     nodes: Nodes,
-    targets: Sequence[EndingTarget],
+    targets: Sequence[CrashingTarget],
     *,
-    path: str = POISON,
+    path: str = CRASH_PATH,
     key: str = "",
 ) -> None:
-    """Send until three targets ended, and let every node in touch hear of it."""
+    """Send until three targets have crashed, and wait until every connected node knows."""
     number = 0
     async with asyncio.timeout(30.0):
-        while ended(targets) < FREE:
+        while crash_count(targets) < CRASH_LIMIT:
             await send(session, nodes, number, path=path, key=key)
             number += 1
             await asyncio.sleep(0.1)
-    await asyncio.sleep(TOUCH_S)
+    await asyncio.sleep(GOSSIP_S)
 
 
-def test_a_request_that_ends_three_targets_reaches_three_more_at_most(tmp_path: Path) -> None:
-    """A request crashes each target that begins to run it, and comes again at every node.
+def test_request_that_crashed_three_targets_reaches_at_most_three_more(tmp_path: Path) -> None:
+    """A request crashes each target that starts it, and its caller resends it at every node.
 
-    Each sending kept a bound of its own and ended as many targets as its route allows attempts;
-    a service lost all its targets each time, and every other caller its answer.
+    Guards against a limit per sending: each sending crashed as many targets as its route allows
+    attempts, so a service lost all its targets each time, and every other caller its response.
     """
 
     async def body() -> None:
         async with (
             running_nodes(3, tmp_path) as (nodes, caller, store, _),
-            ending_targets(store, 4, POISON) as targets,
+            crashing_targets(store, 4, CRASH_PATH) as targets,
             aiohttp.ClientSession() as session,
         ):
-            await ready(nodes, caller)
-            await end_three(session, nodes, targets)
-            before = ended(targets)
+            await await_ready(nodes, caller)
+            await crash_targets(session, nodes, targets)
+            before = crash_count(targets)
             for number in range(100, 112):
                 await send(session, nodes, number)
                 await asyncio.sleep(0.2)
-            assert ended(targets) - before <= RETRIES, nodes.logs()
+            assert crash_count(targets) - before <= MAX_LATER_CRASHES, nodes.logs()
 
     asyncio.run(body())
 
 
-def test_a_refused_request_stays_refused_after_all_nodes_lost_power(tmp_path: Path) -> None:
-    """All nodes start again, and none of them has seen a target end.
+def test_refused_request_stays_refused_after_all_nodes_restart(tmp_path: Path) -> None:
+    """All nodes restart, and none of them has seen a target crash.
 
-    A node that knew nothing would let the request end its targets as if it came for the first
-    time, after each restart.
+    Guards against crashes that are kept in memory only: after each restart the request would crash
+    targets again as if it were new.
     """
 
     async def body() -> None:
         async with (
             running_nodes(3, tmp_path) as (nodes, caller, store, _),
-            ending_targets(store, 4, POISON) as targets,
+            crashing_targets(store, 4, CRASH_PATH) as targets,
             aiohttp.ClientSession() as session,
         ):
-            await ready(nodes, caller)
-            await end_three(session, nodes, targets)
-            before = ended(targets)
+            await await_ready(nodes, caller)
+            await crash_targets(session, nodes, targets)
+            before = crash_count(targets)
             for _ in range(2):
                 await nodes.kill_all()
                 await nodes.start()
-                await ready(nodes, caller)
+                await await_ready(nodes, caller)
                 for number in range(200, 206):
                     await send(session, nodes, number)
-            assert ended(targets) - before <= RETRIES, nodes.logs()
+            assert crash_count(targets) - before <= MAX_LATER_CRASHES, nodes.logs()
 
     asyncio.run(body())
 
 
-def test_targets_that_one_node_each_saw_end_are_counted_together(tmp_path: Path) -> None:
-    """A request that may not be repeated ends one target at each sending, each at another node."""
+def test_crashes_seen_by_different_nodes_are_counted_together(tmp_path: Path) -> None:
+    """Each sending of a non-idempotent request, at another node each time, crashes one target."""
 
     async def body() -> None:
         async with (
             running_nodes(3, tmp_path) as (nodes, caller, store, _),
-            ending_targets(store, 4, "/once/poison") as targets,
+            crashing_targets(store, 4, "/once/poison") as targets,
             aiohttp.ClientSession() as session,
         ):
-            store.put("keyed.op", "config", config_with_once())
-            await ready(nodes, caller)
+            store.put("keyed.op", "config", config_with_non_idempotent_route())
+            await await_ready(nodes, caller)
             for host in nodes.hosts:
                 headers = {"X-Request-Id": f"o-{host}"}
                 await caller.call("POST", "/once/1", host=host, headers=headers)
-            await end_three(session, nodes, targets, path="/once/poison")
-            before = ended(targets)
+            await crash_targets(session, nodes, targets, path="/once/poison")
+            before = crash_count(targets)
             for number in range(100, 109):
                 status = await send(session, nodes, number, path="/once/poison")
-                assert status in NO_ANSWER
-            assert ended(targets) - before <= RETRIES, nodes.logs()
+                assert status in GATEWAY_ERRORS
+            assert crash_count(targets) - before <= MAX_LATER_CRASHES, nodes.logs()
 
     asyncio.run(body())
 
 
 @pytest.mark.parametrize("path", ["/run/poison", "/run/once/poison"])
-def test_a_stream_that_ends_its_engines_is_opened_at_three_more_at_most(
+def test_stream_that_crashed_engines_is_opened_at_most_at_three_more(
     tmp_path: Path, path: str
 ) -> None:
-    """A stream goes on at another engine where one breaks off, and its caller comes again."""
+    """A broken stream resumes at another engine, and its caller sends it again."""
 
     async def body() -> None:
         async with (
             running_nodes(3, tmp_path) as (nodes, caller, store, _),
-            ending_targets(store, 4, path, service="engine") as targets,
+            crashing_targets(store, 4, path, service="engine") as targets,
             aiohttp.ClientSession() as session,
         ):
-            await ready(nodes, caller)
-            await end_three(session, nodes, targets, path=path)
-            before = ended(targets)
+            await await_ready(nodes, caller)
+            await crash_targets(session, nodes, targets, path=path)
+            before = crash_count(targets)
             for number in range(100, 109):
-                assert await send(session, nodes, number, path=path) in NO_ANSWER
-            assert ended(targets) - before <= RETRIES, nodes.logs()
+                assert await send(session, nodes, number, path=path) in GATEWAY_ERRORS
+            assert crash_count(targets) - before <= MAX_LATER_CRASHES, nodes.logs()
 
     asyncio.run(body())
 
 
-def test_a_request_under_way_at_targets_that_end_for_another_reason_is_served(
+def test_request_running_on_targets_that_crash_for_other_reasons_is_served(
     tmp_path: Path,
 ) -> None:
-    """A zone goes with all targets at which the same request of several callers is under way."""
+    """A zone fails with all targets that run the same request of several callers."""
 
     async def body() -> None:
         async with (
             running_nodes(3, tmp_path) as (nodes, caller, store, _),
-            ending_targets(store, 3, "/plain/never") as targets,
+            crashing_targets(store, 3, "/plain/never") as targets,
             aiohttp.ClientSession() as session,
         ):
-            await ready(nodes, caller)
+            await await_ready(nodes, caller)
             for target in targets:
                 target.go_on.set()
             for number, _host in enumerate(nodes.hosts):
@@ -195,14 +196,14 @@
                     for n in range(6)
                 ]
                 async with asyncio.timeout(10.0):
-                    while under_way(targets) + sum(call.done() for call in sent) < len(sent):
+                    while slow_call_count(targets) + sum(call.done() for call in sent) < len(sent):
                         await asyncio.sleep(0.01)
                 for target in targets:
-                    target.end()
+                    target.crash()
                     target.go_on.set()
                 statuses = await asyncio.gather(*sent)
-                assert set(statuses) <= {200, *NO_ANSWER}
-                await ready(nodes, caller)
+                assert set(statuses) <= {200, *GATEWAY_ERRORS}
+                await await_ready(nodes, caller)
             for host in nodes.hosts:
                 headers = {"X-Request-Id": f"after-{host}"}
                 answer = await caller.call(
@@ -214,21 +215,21 @@
     asyncio.run(body())
 
 
-def test_a_request_beside_the_one_that_ends_targets_is_served(tmp_path: Path) -> None:
-    """Other callers' calls are lost with each target that the request ends, and come again."""
+def test_request_running_beside_one_that_crashes_targets_is_served(tmp_path: Path) -> None:
+    """Each crash of a target also loses the calls of other callers, which resend them."""
 
     async def body() -> None:
         async with (
             running_nodes(3, tmp_path) as (nodes, caller, store, _),
-            ending_targets(store, 4, POISON) as targets,
+            crashing_targets(store, 4, CRASH_PATH) as targets,
             aiohttp.ClientSession() as session,
         ):
-            await ready(nodes, caller)
+            await await_ready(nodes, caller)
             for number in range(6):
                 beside = [send(session, nodes, n, path="/plain/beside") for n in range(6)]
                 await asyncio.gather(send(session, nodes, number), *beside)
                 await asyncio.sleep(0.3)
-            assert ended(targets) >= FREE
+            assert crash_count(targets) >= CRASH_LIMIT
             for host in nodes.hosts:
                 headers = {"X-Request-Id": f"b-{host}"}
                 await caller.call("POST", "/plain/beside", host=host, body=BODY, headers=headers)
@@ -237,15 +238,15 @@
     asyncio.run(body())
 
 
-def test_connections_that_targets_reset_while_they_live_refuse_nothing(tmp_path: Path) -> None:
-    """A faulty target, or the way to it, resets connections of one request again and again."""
+def test_connections_reset_by_live_targets_cause_no_refusal(tmp_path: Path) -> None:
+    """A faulty target or network keeps resetting the connections of one request."""
 
     async def body() -> None:
         async with (
             running_nodes(1, tmp_path) as (nodes, caller, _store, targets),
             aiohttp.ClientSession() as session,
         ):
-            await ready(nodes, caller)
+            await await_ready(nodes, caller)
             targets[1].answers = ["reset"] * 12
             for number in range(6):
                 assert await send(session, nodes, number, path="/plain/reset") == 502
@@ -254,34 +255,34 @@
     asyncio.run(body())
 
 
-def test_a_refused_request_of_one_workspace_is_served_for_another(tmp_path: Path) -> None:
-    """The same bytes of another caller are another request; nobody can have it refused."""
+def test_request_refused_for_one_workspace_is_served_for_another(tmp_path: Path) -> None:
+    """Equal requests of different callers count apart; no caller can get another's refused."""
 
     async def body() -> None:
         async with (
             running_nodes(2, tmp_path) as (nodes, caller, store, _),
-            ending_targets(store, 4, POISON) as targets,
+            crashing_targets(store, 4, CRASH_PATH) as targets,
             aiohttp.ClientSession() as session,
         ):
             store.put("keyed.op", "config", config_with_keys(2, {"a": ["ka"], "b": ["kb"]}))
             for host in nodes.hosts:
                 headers = {"Authorization": "Bearer ka", "X-Request-Id": f"k-{host}"}
                 await caller.call("POST", "/plain/1", host=host, headers=headers)
-            await end_three(session, nodes, targets, key="ka")
-            before = ended(targets)
+            await crash_targets(session, nodes, targets, key="ka")
+            before = crash_count(targets)
             for target in targets:
-                target.ends_on = "/nowhere"
+                target.crash_path = "/nowhere"
             headers = {"Authorization": "Bearer kb", "X-Request-Id": "b"}
-            answer = await caller.call("POST", POISON, body=BODY, headers=headers)
+            answer = await caller.call("POST", CRASH_PATH, body=BODY, headers=headers)
             assert answer == b"answer to b"
             assert await send(session, nodes, 300, key="ka") == 502
-            assert ended(targets) == before
+            assert crash_count(targets) == before
 
     asyncio.run(body())
 
 
-def config_with_once() -> dict[str, object]:
-    """Return the configuration with a route whose calls may not be repeated."""
+def config_with_non_idempotent_route() -> dict[str, object]:
+    """Return the configuration with a route for non-idempotent calls."""
     document = {**config_document(), "version": 2}
     routes = list(document["routes"])  # type: ignore[call-overload]
     plain = next(route for route in routes if route["name"] == "plain")
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents of the platform: read whole, or refused with their place."""
+"""Decoding of the platform's documents: complete, or rejected with the place of the error."""
 
 import json
 import re
@@ -85,7 +85,7 @@
 }
 
 
-def test_workspaces_and_scaling_are_read() -> None:
+def test_workspaces_and_scaling_are_decoded() -> None:
     document = {
         **CONFIG,
         "services": [CONFIG["services"][0], {**CONFIG["services"][1], "scaling": SCALING}],  # type: ignore[index, dict-item]
@@ -110,18 +110,18 @@
         [{"name": "w", "apiKeys": [""]}],
     ],
 )
-def test_a_configuration_with_unreadable_workspaces_changes_nothing(tenants: object) -> None:
-    """Guards against a configuration that is half read: its callers would all be refused."""
+def test_configuration_with_malformed_workspaces_is_rejected(tenants: object) -> None:
+    """Guards against a partly decoded configuration, under which every caller would be refused."""
     with pytest.raises(DocumentFormatError):
         decode_config(as_json({**CONFIG, "tenants": tenants}))
 
 
-def test_an_empty_list_of_workspaces_is_not_the_lack_of_one() -> None:
+def test_empty_list_of_workspaces_requires_keys() -> None:
     assert decode_config(as_json({**CONFIG, "tenants": []})).requires_keys
     assert not decode_config(as_json(CONFIG)).requires_keys
 
 
-def test_a_configuration_is_read_into_the_products_types() -> None:
+def test_configuration_is_decoded() -> None:
     config = decode_config(as_json(CONFIG))
     first, second = config.routes
     assert (config.revision, first.host, first.timeout_s) == (7, "a.example", 2.0)
@@ -147,12 +147,12 @@
         as_json({**CONFIG, "version": "x"}),
     ],
 )
-def test_what_is_no_configuration_is_refused(document: bytes) -> None:
+def test_malformed_configuration_is_rejected(document: bytes) -> None:
     with pytest.raises(DocumentFormatError):
         decode_config(document)
 
 
-def test_a_registration_names_a_target() -> None:
+def test_registration_is_decoded() -> None:
     target = decode_target("i-1", as_json(ENTRY))
     assert target == Target("i-1", "s", "127.0.0.1:80", "z", 4, False, {"m": 3}, 17)
 
@@ -172,8 +172,8 @@
         {"models": [{"name": "m", "version": True}]},
     ],
 )
-def test_a_registration_of_another_writer_names_no_target(change: dict[str, object]) -> None:
-    """Something else wrote an entry; used as a target, calls would go to nobody."""
+def test_malformed_registration_is_rejected(change: dict[str, object]) -> None:
+    """Guards against calls to the invalid address of an entry that another writer wrote."""
     with pytest.raises(DocumentFormatError):
         decode_target("i-1", as_json({**ENTRY, **change}))
 
@@ -181,7 +181,7 @@
 @pytest.mark.parametrize(
     "document", [b"x", as_json({"model": "m"}), as_json({"model": "m", "version": 2.0})]
 )
-def test_what_names_no_version_is_refused(document: bytes) -> None:
+def test_malformed_model_version_is_rejected(document: bytes) -> None:
     with pytest.raises(DocumentFormatError):
         decode_named_version(document)
 
@@ -200,7 +200,7 @@
 }
 
 
-def test_settings_are_read_and_unknown_ones_ignored() -> None:
+def test_unknown_settings_are_ignored() -> None:
     settings = decode_boot_settings(SETTINGS, "boot.toml")
     assert (settings.node_id, settings.lease_s, settings.peer_ports) == ("n", 3.0, (7720, 7735))
 
@@ -215,7 +215,9 @@
         ({"seedNodes": "x"}, "seedNodes"),
     ],
 )
-def test_bad_settings_are_named(change: dict[str, object], where: str) -> None:
+def test_invalid_settings_are_rejected_with_their_key(
+    change: dict[str, object], where: str
+) -> None:
     with pytest.raises(BootSettingsError, match=re.escape(f"boot.toml: {where}: expected")):
         decode_boot_settings({**SETTINGS, **change}, "boot.toml")
 
@@ -231,7 +233,7 @@
 }
 
 
-def test_a_job_is_read_into_a_step() -> None:
+def test_job_is_decoded() -> None:
     job = {"step": 7, "model": "m", "minVersion": 6, "targetGroups": 1, "items": [ITEM]}
     step = decode_step("id", "h", "/run/x", as_json(job))
     item = step.items[0]
@@ -251,7 +253,7 @@
         (as_json({"items": [ITEM], "step": {}}), "job id"),
     ],
 )
-def test_a_malformed_job_is_refused_with_its_place(job: bytes, where: str) -> None:
+def test_malformed_job_is_rejected_with_the_place_of_the_error(job: bytes, where: str) -> None:
     with pytest.raises(RequestError, match=where) as raised:
         decode_step("id", "h", "/run/x", job)
     assert raised.value.kind is ErrorKind.MALFORMED
@@ -259,7 +261,7 @@
 
 @pytest.mark.parametrize("kind", list(ErrorKind))
 @pytest.mark.parametrize("ran", list(Ran))
-def test_a_status_promises_not_run_exactly_when_that_is_so(kind: ErrorKind, ran: Ran) -> None:
+def test_status_guarantees_not_run_only_if_certain(kind: ErrorKind, ran: Ran) -> None:
     status = status_of(RequestError(kind, "x", ran=ran))
     assert ran is Ran.NO or status not in (408, 421, 429, 503)
     assert ran is not Ran.NO or status < 500 or status == 503
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -1,4 +1,4 @@
-"""Usage reports and orders of targets by real node processes, through the loss of their holder."""
+"""Usage reports and orders of targets by node processes, including the loss of the holder."""
 
 import asyncio
 import time
@@ -39,12 +39,12 @@
         await api.stop()
 
 
-async def call(caller: Caller, nodes: Nodes, key: str, number: int, counted: Counter[str]) -> None:
-    """Send one call with a key and count it for its window and workspace."""
+async def call(caller: Caller, nodes: Nodes, key: str, number: int, expected: Counter[str]) -> None:
+    """Send one call with a key, and count it for the key's workspace."""
     headers = {"Authorization": f"Bearer {key}", "X-Request-Id": f"{key}-{number}"}
     host = nodes.hosts[number % len(nodes.hosts)]
     await caller.call("POST", f"/plain/{number}", host=host, headers=headers)
-    counted[key.partition("-")[0]] += 1
+    expected[key.partition("-")[0]] += 1
 
 
 def reported(api: ApiStandIn) -> Counter[str]:
@@ -55,40 +55,40 @@
 
 
 @pytest.mark.parametrize("answers", [[], ["lost", 503, 429]], ids=["no fault", "API away"])
-def test_usage_is_reported_right_through_the_loss_of_its_holder(
+def test_usage_is_reported_correctly_after_loss_of_holder(
     answers: list[str | int], tmp_path: Path
 ) -> None:
-    """Guards against windows that are lost, wrong or reported twice when their holder is killed."""
+    """Guards against windows that are lost, wrong or reported twice when the holder is killed."""
 
     async def body() -> None:
         async with nodes_and_api(3, tmp_path) as (nodes, caller, _store, api):
-            await until_known(caller, nodes)
-            counted: Counter[str] = Counter()
+            await wait_for_keys(caller, nodes)
+            expected: Counter[str] = Counter()
             for number in range(6):
-                await call(caller, nodes, "shop-1", number, counted)
-            await call(caller, nodes, "club-1", 99, counted)
+                await call(caller, nodes, "shop-1", number, expected)
+            await call(caller, nodes, "club-1", 99, expected)
             await until(lambda: bool(api.holders))
             api.answers = list(answers)
             holder = api.holders[-1][0].removeprefix("node-")
-            # What a node counted a moment ago is written; its holder dies before the window's end.
+            # Let nodes write what they have counted; the holder dies before the end of the window.
             await asyncio.sleep(0.3)
             await nodes.kill(holder)
             nodes.hosts.remove(holder)
             for number in range(6, 12):
-                await call(caller, nodes, "shop-1", number, counted)
+                await call(caller, nodes, "shop-1", number, expected)
             last = int(time.time() // WINDOW_S)
             async with asyncio.timeout(30.0):
                 while last not in api.reports:
                     await asyncio.sleep(0.1)
-            assert reported(api) == counted, nodes.logs()
-            assert api.broken == []
+            assert reported(api) == expected, nodes.logs()
+            assert api.violations == []
             assert len({name for name, _fence in api.holders}) == 2
 
     asyncio.run(body())
 
 
-async def until_known(caller: Caller, nodes: Nodes) -> None:
-    """Wait until every node knows the keys."""
+async def wait_for_keys(caller: Caller, nodes: Nodes) -> None:
+    """Wait until every node has the configuration with keys."""
     for host in nodes.hosts:
         async with asyncio.timeout(20.0):
             while True:
@@ -99,8 +99,8 @@
                     await asyncio.sleep(0.05)
 
 
-def test_a_wave_has_spot_targets_ordered_in_zones_with_a_price(tmp_path: Path) -> None:
-    """Guards against an order that the API would refuse, or none at all."""
+def test_burst_of_items_orders_spot_targets_in_zones_with_a_price(tmp_path: Path) -> None:
+    """Guards against missing orders and against orders that the API would reject."""
 
     async def body() -> None:
         async with nodes_and_api(1, tmp_path) as (nodes, caller, store, api):
@@ -119,9 +119,9 @@
             await caller.call("POST", "/jobs/1", **submit)  # type: ignore[arg-type]
             await until(lambda: bool(api.orders))
             order = dict(api.orders[0])
-            # How many depends on how many items were made before the first look.
+            # The number depends on how many items exist when the planner first looks.
             assert 1 <= int(str(order.pop("targetGroups"))) <= 4
             assert order == {"service": "engine", "zone": "z", "spot": True}, nodes.logs()
-            assert api.broken == []
+            assert api.violations == []
 
     asyncio.run(body())
--- a/tests/platform/test_keys.py
+++ b/tests/platform/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys and workspaces at real nodes: calls, steps, and keys that come and go."""
+"""API keys and workspaces at node processes: calls, steps, added and revoked keys."""
 
 import asyncio
 import json
@@ -19,21 +19,23 @@
 async def put_keys(
     nodes: Nodes, caller: Caller, store: StoreStandIn, version: int, keys: dict[str, list[str]]
 ) -> None:
-    """Put a configuration into force at every node: its own new key is known there."""
-    mark = f"mark-{version}"
-    store.put("keyed.op", "config", config_with_keys(version, {**keys, "mark": [mark]}))
+    """Write a configuration, and wait until every node accepts a key that is new in it."""
+    probe_key = f"mark-{version}"
+    store.put("keyed.op", "config", config_with_keys(version, {**keys, "mark": [probe_key]}))
     for host in nodes.hosts:
         async with asyncio.timeout(20.0):
             while True:
                 try:
-                    await caller.call("POST", "/plain/0", host=host, headers=bearer(mark, mark))
+                    await caller.call(
+                        "POST", "/plain/0", host=host, headers=bearer(probe_key, probe_key)
+                    )
                     break
                 except AssertionError:
                     await asyncio.sleep(0.05)
 
 
 def seen_headers(target: object, request_id: str) -> dict[str, str]:
-    """Return the headers with which a request reached a target, names in lower case."""
+    """Return the headers that a target received with a request, with lower-case names."""
     for _method, _path, headers, _body in reversed(target.seen):  # type: ignore[attr-defined]
         lower = {name.lower(): value for name, value in headers.items()}
         if lower.get("x-request-id") == request_id:
@@ -41,8 +43,8 @@
     raise AssertionError(f"{request_id} was not seen")
 
 
-def test_a_target_learns_the_workspace_and_never_the_key(tmp_path: Path) -> None:
-    """Guards against a key that leaks to targets, and a caller that names its own workspace."""
+def test_target_receives_workspace_but_never_key(tmp_path: Path) -> None:
+    """Guards against keys that leak to targets, and callers that choose their own workspace."""
 
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (nodes, caller, store, targets):
@@ -66,8 +68,8 @@
     asyncio.run(body())
 
 
-def test_a_step_belongs_to_its_workspace_and_outlives_the_key(tmp_path: Path) -> None:
-    """Guards against a step that ends with its key, or that another workspace can see."""
+def test_step_belongs_to_its_workspace_and_outlives_revoked_key(tmp_path: Path) -> None:
+    """Guards against a step that ends when its key is revoked, or that other workspaces can see."""
 
     async def body() -> None:
         async with running_nodes(2, tmp_path) as (nodes, caller, store, targets):
@@ -98,7 +100,7 @@
                 assert item["x-tenant"] == "shop"
                 assert "x-tenant" not in reward
                 assert not {"authorization"} & (item.keys() | reward.keys())
-            # The same id of another workspace is another step, which this node can't keep.
+            # The same id in another workspace is another step, which conflicts with the first.
             await caller.call(
                 "POST", "/jobs/1", status=409, body=job(4), headers=bearer("club-1", "j1")
             )
@@ -108,8 +110,8 @@
 
 
 @pytest.mark.parametrize("fails_closed", [False, True])
-def test_keys_while_the_store_is_away(fails_closed: bool, tmp_path: Path) -> None:
-    """Guards against keys that end with the store, or outlive what the operator allows."""
+def test_keys_during_store_outage(fails_closed: bool, tmp_path: Path) -> None:
+    """Guards against keys that fail with the store, or work longer than the operator allows."""
 
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (nodes, caller, store, _targets):
@@ -117,7 +119,7 @@
             await put_keys(nodes, caller, store, 2, KEYS)
             await nodes.kill(host)
             flag = str(fails_closed).lower()
-            nodes.more_bounds = f"revokeFailClosed = {flag}\nrevocationMs = 1500"
+            nodes.extra_bounds = f"revokeFailClosed = {flag}\nrevocationMs = 1500"
             await nodes.start_one(host)
             await caller.call("POST", "/plain/1", headers=bearer("shop-1"))
             store.refusing = 503
@@ -132,14 +134,14 @@
     asyncio.run(body())
 
 
-def test_settings_that_change_bound_keys_from_then_on(tmp_path: Path) -> None:
-    """Guards against a bound on keys that holds only after the next start."""
+def test_changed_settings_apply_to_keys_without_restart(tmp_path: Path) -> None:
+    """Guards against settings for key revocation that apply only after a restart."""
 
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (nodes, caller, store, _targets):
             host = nodes.hosts[0]
             await put_keys(nodes, caller, store, 2, KEYS)
-            nodes.more_bounds = "revokeFailClosed = true\nrevocationMs = 700"
+            nodes.extra_bounds = "revokeFailClosed = true\nrevocationMs = 700"
             nodes.write_settings(host, nodes.settings(host))
             await asyncio.sleep(0.5)
             store.refusing = 503
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,10 +1,10 @@
-"""Where the platform's names may stand."""
+"""The platform's names are used in its package only."""
 
 import re
 from pathlib import Path
 
 
-def test_no_name_of_the_platform_stands_outside_its_folder() -> None:
+def test_platform_names_are_used_in_platform_package_only() -> None:
     package = Path(__file__).parents[2] / "samphirecleat"
     names = re.compile(
         r"X-Server-Stamp|X-Expect-Instance|X-Not-Executed|X-Request-Id|X-Deadline-Ms|fencingToken"
