--- a/samphirecleat/platform/_platform_node.py
+++ b/samphirecleat/platform/_platform_node.py
@@ -73,15 +73,19 @@
 STORE_SETTLE_S: Final = 3.0
 # Corrections of this node's clock above this are logged.
 LOGGED_CLOCK_CORRECTION_S: Final = 0.1
-# A draining node keeps serving for at least this long, because callers may cache its address for
-# three times the TTL of a directory answer, plus one second until the fleet knows that it drains.
+# A draining node keeps serving for this long, or for 60 % of the grace period if that is shorter.
+# Callers may cache its address for three times the TTL of a directory answer, and the fleet learns
+# of the drain within a second.
 MIN_DRAIN_S: Final = 4.2
 # Part of the grace period that is kept for stopping.
 STOP_MARGIN_S: Final = 0.6
 
 
 class PlatformNode:
-    """A node process: creates and connects its components, and starts, drains and stops them."""
+    """A node process: creates and connects its components, and starts, drains and stops them.
+
+    Draining before the stop lets requests in flight finish within the grace period.
+    """
 
     def __init__(self, settings: BootSettings) -> None:
         """Create the components that need no event loop; nothing is sent yet."""
--- a/samphirecleat/platform/_wire_names.py
+++ b/samphirecleat/platform/_wire_names.py
@@ -1,4 +1,4 @@
-"""Names of headers, paths, topics and keys in the platform's protocols."""
+"""Names of headers, paths, topics and keys in the platform's protocols, each defined once."""
 
 from typing import Final
 
