--- a/samphirecleat/platform/_wire_names.py
+++ b/samphirecleat/platform/_wire_names.py
@@ -1,26 +1,26 @@
-"""The platform's names of headers and calls, spelled once."""
+"""Names of headers, paths, topics and keys in the platform's protocols, each defined once."""
 
 from typing import Final
 
 REQUEST_ID: Final = "X-Request-Id"
 DEADLINE_MS: Final = "X-Deadline-Ms"
-SIGNATURE: Final = "X-Server-Stamp"
+SERVER_STAMP: Final = "X-Server-Stamp"
 EXPECT_INSTANCE: Final = "X-Expect-Instance"
-INSTANCE: Final = "X-Instance-Id"
-NOT_RUN: Final = "X-Not-Executed"
+INSTANCE_ID: Final = "X-Instance-Id"
+NOT_EXECUTED: Final = "X-Not-Executed"
 LAST_EVENT_ID: Final = "Last-Event-Id"
-VERSION: Final = "X-Weight-Versions"
-RUN_PRIORITY: Final = "X-Request-Priority"
+WEIGHT_VERSIONS: Final = "X-Weight-Versions"
+REQUEST_PRIORITY: Final = "X-Request-Priority"
 TOKEN_COUNTS: Final = "X-Token-Counts"
 LENGTH_HINT: Final = "X-Length-Hint"
 WAIT_MS: Final = "X-Wait-Ms"
 CREDENTIALS: Final = "Authorization"
-# Named a tenant; it is the workspace.
+# The platform calls a workspace a tenant.
 WORKSPACE: Final = "X-Tenant"
-# What a caller brings to show who it is, and never reaches a target.
+# Headers by which a caller identifies itself; with API keys they never reach a target.
 IDENTITY_HEADERS: Final = frozenset({CREDENTIALS.lower(), WORKSPACE.lower()})
 
-# Headers that concern one connection only (RFC 9110, 7.6.1) and are never passed on.
+# Headers that apply to a single connection (RFC 9110, 7.6.1) and are never forwarded.
 CONNECTION_HEADERS: Final = frozenset(
     {
         "connection",
@@ -35,7 +35,7 @@
     }
 )
 
-# Who does a duty towards the platform's API, and its fencing number.
+# The holder of a duty that calls the platform's API, and its fencing number.
 DUTY_HOLDER: Final = "X-Duty-Holder"
 DUTY_FENCING: Final = "X-Fencing-Token"
 
@@ -53,5 +53,5 @@
 PATH_NEWEST: Final = "/v1/log-newest"
 TOPIC_OPERATOR: Final = "keyed.op"
 TOPIC_TARGETS: Final = "keyed.servers"
-KEY_CONFIG: Final = "config"
-KEY_VERSION: Final = "version/"
+CONFIG_KEY: Final = "config"
+VERSION_KEY_PREFIX: Final = "version/"
