--- a/samphirecleat/_jsonc.py
+++ b/samphirecleat/_jsonc.py
@@ -48,7 +48,7 @@
 """Stands for "no default": a missing key is then a fault."""
 
 
-class Reader:
+class DocumentReader:
     """Reads one object of a document and notes what is wrong in it.
 
     Each ``take_*`` method returns a usable value even after a fault, so that the
@@ -68,14 +68,14 @@
             # takes for a key of the document.
             self._children = {key: child for key, child in node}  # noqa: C416
         else:
-            self.fault("an object {...} is expected here")
+            self.add_fault("an object {...} is expected here")
 
     @property
     def line(self) -> int:
         """The line on which this object starts."""
         return int(jsoncfg.node_location(self._node).line)
 
-    def fault(self, message: str, key: str = "") -> None:
+    def add_fault(self, message: str, key: str = "") -> None:
         """Note that ``key`` of this object (or the object itself) is wrong."""
         node = self._children.get(key, self._node)
         line = int(jsoncfg.node_location(node).line)
@@ -99,7 +99,7 @@
             self._wrong(key, value, f"a number from {at_least:g} to {at_most:g} is expected")
             return at_least
         if not at_least <= value <= at_most:
-            self.fault(f"{_short(value)} is outside {at_least:g} to {at_most:g}", key)
+            self.add_fault(f"{_short(value)} is outside {at_least:g} to {at_most:g}", key)
             return at_least
         return float(value)
 
@@ -117,7 +117,7 @@
             self._wrong(key, value, f"a whole number from {at_least} to {at_most} is expected")
             return at_least
         if not at_least <= value <= at_most:
-            self.fault(f"{_short(value)} is outside {at_least} to {at_most}", key)
+            self.add_fault(f"{_short(value)} is outside {at_least} to {at_most}", key)
             return at_least
         return value
 
@@ -129,7 +129,7 @@
             return False
         return value
 
-    def take_text(
+    def take_string(
         self,
         key: str,
         default: str | _Required = REQUIRED,
@@ -142,11 +142,13 @@
             self._wrong(key, value, "a text is expected")
             return next(iter(one_of), "")
         if one_of and value not in one_of:
-            self.fault(f'"{value}" is not one of {", ".join(sorted(one_of))}', key)
+            self.add_fault(f'"{value}" is not one of {", ".join(sorted(one_of))}', key)
             return next(iter(one_of))
         return value
 
-    def take_texts(self, key: str, default: Sequence[str] | _Required = REQUIRED) -> Sequence[str]:
+    def take_strings(
+        self, key: str, default: Sequence[str] | _Required = REQUIRED
+    ) -> Sequence[str]:
         """Take a list of texts."""
         value = self._take(key, default)
         if not isinstance(value, list | tuple) or not all(isinstance(v, str) for v in value):
@@ -154,20 +156,20 @@
             return ()
         return tuple(value)
 
-    def take_object(self, key: str) -> "Reader | None":
+    def take_object(self, key: str) -> "DocumentReader | None":
         """Take an inner object; None when it is missing, which is no fault."""
         self._taken.add(key)
         if key not in self._children:
             return None
-        return Reader(self._children[key], self._key_path(key), self._faults)
+        return DocumentReader(self._children[key], self._key_path(key), self._faults)
 
-    def take_objects(self, key: str) -> Mapping[str, "Reader"]:
+    def take_objects(self, key: str) -> Mapping[str, "DocumentReader"]:
         """Take an object of objects, keyed by names that the writer chose."""
         inner = self.take_object(key)
         if inner is None:
             return {}
         return {
-            name: Reader(node, f"{inner._path}.{name}", self._faults)
+            name: DocumentReader(node, f"{inner._path}.{name}", self._faults)
             for name, node in inner._children.items()
         }
 
@@ -176,7 +178,7 @@
         for key in self._children:
             if key not in self._taken:
                 allowed = ", ".join(sorted(self._taken))
-                self.fault(f"unknown key; known here: {allowed}", key)
+                self.add_fault(f"unknown key; known here: {allowed}", key)
 
     def _take(self, key: str, default: Any) -> Any:
         self._taken.add(key)
@@ -187,15 +189,15 @@
 
     def _wrong(self, key: str, value: Any, expected: str) -> None:
         if value is REQUIRED:
-            self.fault(f'"{key}" is missing; {expected}')
+            self.add_fault(f'"{key}" is missing; {expected}')
         else:
-            self.fault(expected, key)
+            self.add_fault(expected, key)
 
     def _key_path(self, key: str) -> str:
         return f"{self._path}.{key}".strip(".")
 
 
-def read_document(text: str, source: str, build: Callable[[Reader], T]) -> T:
+def read_document(text: str, source: str, build: Callable[[DocumentReader], T]) -> T:
     """Parse ``text`` and build a value from it.
 
     :raises DocumentError: when the text is no JSON with comments, or when
@@ -207,7 +209,7 @@
     except jsoncfg.JSONConfigParserException as error:
         raise DocumentError(source, [Fault(error.line, DOCUMENT, str(error))]) from error
     faults: list[Fault] = []
-    value = build(Reader(root, "", faults))
+    value = build(DocumentReader(root, "", faults))
     if faults:
         raise DocumentError(source, faults)
     return value
--- a/samphirecleat/config/__init__.py
+++ b/samphirecleat/config/__init__.py
@@ -7,7 +7,7 @@
     Outcome,
     adopt_peer_state,
     fold_records,
-    state_to_tell,
+    restatement_from_state,
 )
 from ._records import (
     ANY_REVISION,
@@ -52,5 +52,5 @@
     "read_record",
     "read_service_text",
     "restatement_payload",
-    "state_to_tell",
+    "restatement_from_state",
 ]
--- a/samphirecleat/config/_check.py
+++ b/samphirecleat/config/_check.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Final
 
-from .._jsonc import Reader, read_document
+from .._jsonc import DocumentReader, read_document
 from ..settings import ADDRESS_PATTERN
 from ._service_text import Method, Service, ServiceKind, ServiceText, TargetAddress, Trainer
 
@@ -25,11 +25,11 @@
     return read_document(text, source, _build)
 
 
-def _build(reader: Reader) -> ServiceText:
+def _build(reader: DocumentReader) -> ServiceText:
     service_readers = reader.take_objects("services")
     services = {name: _take_service(name, inner) for name, inner in service_readers.items()}
     if not services:
-        reader.fault("at least one service is expected", "services")
+        reader.add_fault("at least one service is expected", "services")
     trainer_readers = reader.take_objects("trainers")
     trainers = {name: _take_trainer(name, inner) for name, inner in trainer_readers.items()}
     reader.close()
@@ -38,14 +38,14 @@
     return ServiceText(services, trainers)
 
 
-def _take_service(name: str, reader: Reader) -> Service:
+def _take_service(name: str, reader: DocumentReader) -> Service:
     if not NAME_PATTERN.fullmatch(name):
-        reader.fault("a service's name has only letters, digits, _ and -, 40 at most")
-    kind = ServiceKind(reader.take_text("kind", one_of=[kind.value for kind in ServiceKind]))
+        reader.add_fault("a service's name has only letters, digits, _ and -, 40 at most")
+    kind = ServiceKind(reader.take_string("kind", one_of=[kind.value for kind in ServiceKind]))
     service = Service(
         name=name,
         kind=kind,
-        depends_on=reader.take_texts("depends_on", ()),
+        depends_on=reader.take_strings("depends_on", ()),
         targets=_take_targets(reader),
         methods=_take_methods(reader, kind),
         capacity_per_target=reader.take_integer("capacity_per_target", 8, at_least=1),
@@ -62,17 +62,17 @@
     return service
 
 
-def _take_targets(reader: Reader) -> Sequence[TargetAddress]:
+def _take_targets(reader: DocumentReader) -> Sequence[TargetAddress]:
     targets = []
     for address, inner in reader.take_objects("targets").items():
         if not ADDRESS_PATTERN.match(address):
-            inner.fault(f'"{address}" is no IP:port')
-        targets.append(TargetAddress(address, inner.take_text("zone")))
+            inner.add_fault(f'"{address}" is no IP:port')
+        targets.append(TargetAddress(address, inner.take_string("zone")))
         inner.close()
     return tuple(targets)
 
 
-def _take_methods(reader: Reader, kind: ServiceKind) -> Mapping[str, Method]:
+def _take_methods(reader: DocumentReader, kind: ServiceKind) -> Mapping[str, Method]:
     methods = {method.name: method for method in DEFAULT_METHODS[kind]}
     for name, inner in reader.take_objects("methods").items():
         methods[name] = Method(
@@ -82,32 +82,34 @@
         )
         inner.close()
     if not methods:
-        reader.fault('a plain service needs at least one entry in "methods"')
+        reader.add_fault('a plain service needs at least one entry in "methods"')
     return methods
 
 
-def _take_trainer(name: str, reader: Reader) -> Trainer:
+def _take_trainer(name: str, reader: DocumentReader) -> Trainer:
     if not NAME_PATTERN.fullmatch(name):
-        reader.fault("a trainer's name has only letters, digits, _ and -, 40 at most")
+        reader.add_fault("a trainer's name has only letters, digits, _ and -, 40 at most")
     trainer = Trainer(
         name=name,
-        service=reader.take_text("service"),
+        service=reader.take_string("service"),
         share=reader.take_number("share", 1.0, at_least=0.001, at_most=1000.0),
     )
     reader.close()
     return trainer
 
 
-def _check_dependencies(services: Mapping[str, Service], readers: Mapping[str, Reader]) -> None:
+def _check_dependencies(
+    services: Mapping[str, Service], readers: Mapping[str, DocumentReader]
+) -> None:
     for name, service in services.items():
         for needed in service.depends_on:
             if needed not in services:
                 known = ", ".join(sorted(services))
-                readers[name].fault(f'"{needed}" is no service; known: {known}', "depends_on")
+                readers[name].add_fault(f'"{needed}" is no service; known: {known}', "depends_on")
     for name in services:
         cycle = _find_cycle(name, services)
         if cycle and name == min(cycle):
-            readers[name].fault(f"circular: {' -> '.join([*cycle, name])}", "depends_on")
+            readers[name].add_fault(f"circular: {' -> '.join([*cycle, name])}", "depends_on")
 
 
 def _find_cycle(start: str, services: Mapping[str, Service]) -> Sequence[str]:
@@ -128,9 +130,9 @@
 def _check_trainers(
     trainers: Mapping[str, Trainer],
     services: Mapping[str, Service],
-    readers: Mapping[str, Reader],
+    readers: Mapping[str, DocumentReader],
 ) -> None:
     for name, trainer in trainers.items():
         service = services.get(trainer.service)
         if service is None or service.kind is not ServiceKind.ENGINE:
-            readers[name].fault(f'"{trainer.service}" is no service of kind engine', "service")
+            readers[name].add_fault(f'"{trainer.service}" is no service of kind engine', "service")
--- a/samphirecleat/config/_fold.py
+++ b/samphirecleat/config/_fold.py
@@ -85,7 +85,7 @@
     return _apply_restatement(state, peer)
 
 
-def state_to_tell(state: ConfigState) -> Restatement:
+def restatement_from_state(state: ConfigState) -> Restatement:
     """Return what a node may tell a peer: no more than it knows for certain."""
     covers_to = state.folded_to if state.certain else state.revision
     return Restatement(state.revision, covers_to, state.text, state.operator)
--- a/samphirecleat/controllers/configuration/_config_restate.py
+++ b/samphirecleat/controllers/configuration/_config_restate.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Final, NamedTuple
 
-from ...config import ConfigState, Restatement, read_record, state_to_tell
+from ...config import ConfigState, Restatement, read_record, restatement_from_state
 from ...platform import LogBatch
 
 RESTATE_FRACTION: Final = 0.25
@@ -100,4 +100,4 @@
         due_at_s = view.caught_up_since_s
     if now_s < due_at_s + rank_delay_s * (min(rank, MAX_DELAYED_RANK) + jitter):
         return SkipRestatement()
-    return Restate(state_to_tell(state))
+    return Restate(restatement_from_state(state))
--- a/samphirecleat/peers/_server.py
+++ b/samphirecleat/peers/_server.py
@@ -10,7 +10,7 @@
 from grpclib.exceptions import GRPCError
 from grpclib.server import Stream
 
-from ..config import ConfigState, state_to_tell
+from ..config import ConfigState, restatement_from_state
 from ..errors import RequestError
 from ..platform import ListedHost
 from ..requests import AnswerLine, RequestStatus
@@ -85,7 +85,7 @@
         """Tell what this node has in force."""
         self._check_key(stream)
         await stream.recv_message()
-        told = state_to_tell(self._config())
+        told = restatement_from_state(self._config())
         await stream.send_message(ConfigReply(**told._asdict()))
 
     async def FetchReport(self, stream: Stream[ReportRequest, ReportReply]) -> None:  # noqa: N802
--- a/samphirecleat/settings.py
+++ b/samphirecleat/settings.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import Final, NamedTuple
 
-from ._jsonc import Reader, read_document
+from ._jsonc import DocumentReader, read_document
 
 MIN_SHARED_KEY_LENGTH: Final = 16
 ADDRESS_PATTERN: Final = re.compile(r"^[0-9A-Fa-f.:\[\]]+:\d{1,5}$")
@@ -66,7 +66,7 @@
     return read_document(text, source, _build)
 
 
-def _build(reader: Reader) -> Settings:
+def _build(reader: DocumentReader) -> Settings:
     settings = Settings(
         node_id=_take_name(reader, "node_id"),
         zone=_take_name(reader, "zone"),
@@ -76,49 +76,49 @@
         log_url=_take_url(reader, "log_url"),
         weight_store_url=_take_url(reader, "weight_store_url"),
         host_list_url=_take_url(reader, "host_list_url"),
-        seeds=reader.take_texts("seeds", ()),
-        log_format=reader.take_text("log_format", "human", one_of=("human", "json")),
-        log_level=reader.take_text("log_level", "info", one_of=("debug", "info", "warning")),
+        seeds=reader.take_strings("seeds", ()),
+        log_format=reader.take_string("log_format", "human", one_of=("human", "json")),
+        log_level=reader.take_string("log_level", "info", one_of=("debug", "info", "warning")),
         seed=reader.take_integer("seed", 0),
         timings=_take_timings(reader.take_object("timings")),
         bounds=_take_bounds(reader.take_object("bounds")),
     )
     for seed in settings.seeds:
         if not ADDRESS_PATTERN.match(seed):
-            reader.fault(f'"{seed}" is no IP:port', "seeds")
+            reader.add_fault(f'"{seed}" is no IP:port', "seeds")
     reader.close()
     return settings
 
 
-def _take_name(reader: Reader, key: str) -> str:
-    name = reader.take_text(key)
+def _take_name(reader: DocumentReader, key: str) -> str:
+    name = reader.take_string(key)
     if name and not re.fullmatch(r"[A-Za-z0-9_-]{1,40}", name):
-        reader.fault("only letters, digits, _ and - are allowed, 40 at most", key)
+        reader.add_fault("only letters, digits, _ and - are allowed, 40 at most", key)
     return name
 
 
-def _take_address(reader: Reader, key: str) -> str:
-    address = reader.take_text(key)
+def _take_address(reader: DocumentReader, key: str) -> str:
+    address = reader.take_string(key)
     if address and not ADDRESS_PATTERN.match(address):
-        reader.fault("an IP number and a port are expected, such as 10.0.0.5:7000", key)
+        reader.add_fault("an IP number and a port are expected, such as 10.0.0.5:7000", key)
     return address
 
 
-def _take_url(reader: Reader, key: str) -> str:
-    url = reader.take_text(key)
+def _take_url(reader: DocumentReader, key: str) -> str:
+    url = reader.take_string(key)
     if url and not url.startswith(("http://", "https://")):
-        reader.fault("a URL that starts with http:// or https:// is expected", key)
+        reader.add_fault("a URL that starts with http:// or https:// is expected", key)
     return url.rstrip("/")
 
 
-def _take_shared_key(reader: Reader) -> str:
-    key = reader.take_text("shared_key")
+def _take_shared_key(reader: DocumentReader) -> str:
+    key = reader.take_string("shared_key")
     if key and len(key) < MIN_SHARED_KEY_LENGTH:
-        reader.fault(f"at least {MIN_SHARED_KEY_LENGTH} characters are expected", "shared_key")
+        reader.add_fault(f"at least {MIN_SHARED_KEY_LENGTH} characters are expected", "shared_key")
     return key
 
 
-def _take_timings(reader: Reader | None) -> Timings:
+def _take_timings(reader: DocumentReader | None) -> Timings:
     if reader is None:
         return Timings()
     values = {
@@ -129,7 +129,7 @@
     return Timings(**values)
 
 
-def _take_bounds(reader: Reader | None) -> Bounds:
+def _take_bounds(reader: DocumentReader | None) -> Bounds:
     if reader is None:
         return Bounds()
     values = {
--- a/samphirecleat/standins/_fault_file.py
+++ b/samphirecleat/standins/_fault_file.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .._jsonc import Reader, read_document
+from .._jsonc import DocumentReader, read_document
 from ._server import StandInServer
 
 
@@ -49,7 +49,7 @@
     :raises samphirecleat._jsonc.DocumentError: with every fault of the file itself.
     """
 
-    def build(reader: Reader) -> Sequence[TimedFault]:
+    def build(reader: DocumentReader) -> Sequence[TimedFault]:
         rng = random.Random(reader.take_integer("seed", 0))
         rows = reader.take_objects("faults")
         faults = [_take_fault(row, rng, stand_in) for row in rows.values()]
@@ -75,20 +75,20 @@
         print(f"Fault at {fault.at_s:.2f} s: {fault.action}.", flush=True)
 
 
-def _take_fault(row: Reader, rng: random.Random, stand_in: StandInServer) -> TimedFault:
+def _take_fault(row: DocumentReader, rng: random.Random, stand_in: StandInServer) -> TimedFault:
     after_s = row.take_number("after_s")
     at_s = after_s + rng.uniform(0.0, row.take_number("jitter_s", 0.0))
     action: FaultAction
-    method = row.take_text("call", "")
+    method = row.take_string("call", "")
     if method:
         action = CallMethod(method)
         if method.startswith("_") or not callable(getattr(stand_in, method, None)):
-            row.fault(f'this stand-in has no method "{method}"', "call")
+            row.add_fault(f'this stand-in has no method "{method}"', "call")
     else:
-        name = row.take_text("set")
+        name = row.take_string("set")
         known = getattr(stand_in, name, None) if not name.startswith("_") else None
         if not isinstance(known, int | float):
-            row.fault(f'this stand-in has no switch or number "{name}"', "set")
+            row.add_fault(f'this stand-in has no switch or number "{name}"', "set")
             known = 0
         action = SetAttribute(name, type(known)(row.take_number("to")))
     row.close()
--- a/tests/config/test_fold.py
+++ b/tests/config/test_fold.py
@@ -18,8 +18,8 @@
     fold_records,
     publication_payload,
     read_record,
+    restatement_from_state,
     restatement_payload,
-    state_to_tell,
 )
 from samphirecleat.config._fold import PENDING_KEPT
 
@@ -118,7 +118,7 @@
                 batch = self.records[start : start + limit]
                 self._put(node, fold_records(state, batch, self.first_kept))
             case Tell(node=node):
-                self.told.append(state_to_tell(self.nodes[node]))
+                self.told.append(restatement_from_state(self.nodes[node]))
             case AppendTold(message=message) if self.told:
                 self._append(self.told[message % len(self.told)])
             case AdoptTold(node=node, message=message) if self.told:
@@ -175,7 +175,7 @@
         witness = fold_records(witness, world.records, 0)
     for node, state in enumerate(world.nodes):
         behind = fold_records(state, world.records[world.first_kept :], world.first_kept)
-        settled = adopt_peer_state(behind, state_to_tell(witness))
+        settled = adopt_peer_state(behind, restatement_from_state(witness))
         assert settled.certain, node
         assert in_force(settled) == in_force(witness)
 
--- a/tests/controllers/configuration/test_config_restate.py
+++ b/tests/controllers/configuration/test_config_restate.py
@@ -10,8 +10,8 @@
     Publication,
     fold_records,
     publication_payload,
+    restatement_from_state,
     restatement_payload,
-    state_to_tell,
 )
 from samphirecleat.controllers.configuration._config_restate import (
     RecordedState,
@@ -77,7 +77,9 @@
     action = decide_restatement(
         view, state, rank=rank, jitter=0.0, retention_s=RETENTION_S, now_s=now_s
     )
-    assert action == (Restate(state_to_tell(state)) if expect_restatement else SkipRestatement())
+    assert action == (
+        Restate(restatement_from_state(state)) if expect_restatement else SkipRestatement()
+    )
 
 
 @pytest.mark.parametrize("rank", [0, 1, 3, 4, 389])
@@ -98,7 +100,7 @@
     waited = view_after_batch(RecordedState(), empty, ConfigState(), sent_at_s=60.0)
     seen = view_after_batch(waited, stated, STATE, sent_at_s=62.0)
     assert (seen.recorded_offset, seen.recorded_at_s) == (0, 60.0)
-    again = LogRecord(1, restatement_payload(state_to_tell(STATE)))
+    again = LogRecord(1, restatement_payload(restatement_from_state(STATE)))
     empty_again = view_after_batch(seen, LogBatch([], 0, 1), STATE, sent_at_s=90.0)
     restated = view_after_batch(empty_again, LogBatch([again], 0, 2), STATE, sent_at_s=92.0)
     assert (restated.recorded_offset, restated.recorded_at_s) == (1, 90.0)
