--- a/samphirecleat/config/__init__.py
+++ b/samphirecleat/config/__init__.py
@@ -1,10 +1,10 @@
-"""The service text: its types, its check, and the fold that puts it in force."""
+"""The service text: types, validation, and the fold of the configuration stream."""
 
 from .._jsonc import DocumentError, Fault
 from ._check import read_service_text
 from ._fold import (
     ConfigState,
-    Outcome,
+    PublicationOutcome,
     adopt_peer_state,
     fold_records,
     restatement_from_state,
@@ -38,7 +38,7 @@
     "Fault",
     "LogRecord",
     "Method",
-    "Outcome",
+    "PublicationOutcome",
     "Publication",
     "Restatement",
     "Service",
--- a/samphirecleat/config/_check.py
+++ b/samphirecleat/config/_check.py
@@ -1,4 +1,4 @@
-"""Checks a service text whole and builds its typed form."""
+"""Parses and validates a service text."""
 
 import re
 from collections.abc import Mapping, Sequence
@@ -17,37 +17,44 @@
 
 
 def read_service_text(text: str, source: str = "service text") -> ServiceText:
-    """Check a service text and return it typed.
+    """Parse and validate a service text.
 
-    :raises samphirecleat._jsonc.DocumentError: with every fault and its place:
-        unknown keys, unknown or circular dependencies, impossible limits.
+    :raises samphirecleat._jsonc.DocumentError: if the text is invalid; lists every
+        error with its line and key, such as unknown keys, unknown or circular
+        dependencies, and limits out of range.
     """
     return read_document(text, source, _build)
 
 
 def _build(reader: DocumentReader) -> ServiceText:
     service_readers = reader.take_objects("services")
-    services = {name: _take_service(name, inner) for name, inner in service_readers.items()}
+    services = {
+        name: _read_service(name, entry_reader) for name, entry_reader in service_readers.items()
+    }
     if not services:
-        reader.add_fault("at least one service is expected", "services")
+        reader.add_fault("at least one service is required", "services")
     trainer_readers = reader.take_objects("trainers")
-    trainers = {name: _take_trainer(name, inner) for name, inner in trainer_readers.items()}
+    trainers = {
+        name: _read_trainer(name, entry_reader) for name, entry_reader in trainer_readers.items()
+    }
     reader.close()
     _check_dependencies(services, service_readers)
     _check_trainers(trainers, services, trainer_readers)
     return ServiceText(services, trainers)
 
 
-def _take_service(name: str, reader: DocumentReader) -> Service:
+def _read_service(name: str, reader: DocumentReader) -> Service:
     if not NAME_PATTERN.fullmatch(name):
-        reader.add_fault("a service's name has only letters, digits, _ and -, 40 at most")
+        reader.add_fault(
+            "a service name may contain only letters, digits, _ and -, at most 40 characters"
+        )
     kind = ServiceKind(reader.take_string("kind", one_of=[kind.value for kind in ServiceKind]))
     service = Service(
         name=name,
         kind=kind,
         depends_on=reader.take_strings("depends_on", ()),
-        targets=_take_targets(reader),
-        methods=_take_methods(reader, kind),
+        targets=_read_targets(reader),
+        methods=_read_methods(reader, kind),
         capacity_per_target=reader.take_integer("capacity_per_target", 8, at_least=1),
         checks_fencing=reader.take_boolean("checks_fencing", False),
         refusal_is_not_run=reader.take_boolean("refusal_is_not_run", False),
@@ -62,33 +69,35 @@
     return service
 
 
-def _take_targets(reader: DocumentReader) -> Sequence[TargetAddress]:
+def _read_targets(reader: DocumentReader) -> Sequence[TargetAddress]:
     targets = []
-    for address, inner in reader.take_objects("targets").items():
+    for address, entry_reader in reader.take_objects("targets").items():
         if not ADDRESS_PATTERN.match(address):
-            inner.add_fault(f'"{address}" is no IP:port')
-        targets.append(TargetAddress(address, inner.take_string("zone")))
-        inner.close()
+            entry_reader.add_fault(f'"{address}" is not an IP:port address')
+        targets.append(TargetAddress(address, entry_reader.take_string("zone")))
+        entry_reader.close()
     return tuple(targets)
 
 
-def _take_methods(reader: DocumentReader, kind: ServiceKind) -> Mapping[str, Method]:
+def _read_methods(reader: DocumentReader, kind: ServiceKind) -> Mapping[str, Method]:
     methods = {method.name: method for method in DEFAULT_METHODS[kind]}
-    for name, inner in reader.take_objects("methods").items():
+    for name, entry_reader in reader.take_objects("methods").items():
         methods[name] = Method(
             name,
-            idempotent=inner.take_boolean("idempotent"),
-            max_s=inner.take_number("max_s", 30.0, at_least=0.01, at_most=3600.0),
+            idempotent=entry_reader.take_boolean("idempotent"),
+            max_s=entry_reader.take_number("max_s", 30.0, at_least=0.01, at_most=3600.0),
         )
-        inner.close()
+        entry_reader.close()
     if not methods:
-        reader.add_fault('a plain service needs at least one entry in "methods"')
+        reader.add_fault('a plain service requires at least one entry in "methods"')
     return methods
 
 
-def _take_trainer(name: str, reader: DocumentReader) -> Trainer:
+def _read_trainer(name: str, reader: DocumentReader) -> Trainer:
     if not NAME_PATTERN.fullmatch(name):
-        reader.add_fault("a trainer's name has only letters, digits, _ and -, 40 at most")
+        reader.add_fault(
+            "a trainer name may contain only letters, digits, _ and -, at most 40 characters"
+        )
     trainer = Trainer(
         name=name,
         service=reader.take_string("service"),
@@ -102,28 +111,32 @@
     services: Mapping[str, Service], readers: Mapping[str, DocumentReader]
 ) -> None:
     for name, service in services.items():
-        for needed in service.depends_on:
-            if needed not in services:
+        for dependency in service.depends_on:
+            if dependency not in services:
                 known = ", ".join(sorted(services))
-                readers[name].add_fault(f'"{needed}" is no service; known: {known}', "depends_on")
+                readers[name].add_fault(
+                    f'"{dependency}" is not a service; known services: {known}', "depends_on"
+                )
     for name in services:
         cycle = _find_cycle(name, services)
         if cycle and name == min(cycle):
-            readers[name].add_fault(f"circular: {' -> '.join([*cycle, name])}", "depends_on")
+            readers[name].add_fault(
+                f"circular dependency: {' -> '.join([*cycle, name])}", "depends_on"
+            )
 
 
 def _find_cycle(start: str, services: Mapping[str, Service]) -> Sequence[str]:
-    """Return a path of names from ``start`` back to it, or nothing."""
+    """Return the names on a dependency cycle through ``start``, or an empty sequence."""
     paths = [[start]]
-    seen: set[str] = set()
+    visited: set[str] = set()
     while paths:
         path = paths.pop()
-        for needed in services[path[-1]].depends_on:
-            if needed == start:
+        for dependency in services[path[-1]].depends_on:
+            if dependency == start:
                 return path
-            if needed in services and needed not in seen:
-                seen.add(needed)
-                paths.append([*path, needed])
+            if dependency in services and dependency not in visited:
+                visited.add(dependency)
+                paths.append([*path, dependency])
     return ()
 
 
@@ -135,4 +148,6 @@
     for name, trainer in trainers.items():
         service = services.get(trainer.service)
         if service is None or service.kind is not ServiceKind.ENGINE:
-            readers[name].add_fault(f'"{trainer.service}" is no service of kind engine', "service")
+            readers[name].add_fault(
+                f'"{trainer.service}" is not a service of kind engine', "service"
+            )
--- a/samphirecleat/config/_fold.py
+++ b/samphirecleat/config/_fold.py
@@ -1,15 +1,15 @@
-"""The pure function that turns the log's configuration records into the state in force.
-
-Every node folds the same records in offset order and so agrees without talking
-to another. A publication is accepted when its text is valid and its base is the
-revision in force at its offset; its own offset is then the new revision, so that
-revisions only rise. The publication's id plays no part in the decision (an id
-that is appended twice fails by its base), which keeps a fold that starts late in
-agreement with one that starts at the first record.
-
-The log trims old records. A fold that missed some is *uncertain*: it keeps its
-revision in force, but decides nothing until a statement of the accepted state,
-from the log or from a peer, covers every record that it missed.
+"""A pure fold from the records of the configuration stream to the state in force.
+
+Every node folds the same records in offset order, so all nodes reach the same state
+without coordination. A publication is accepted if its text is valid and its base is
+the revision in force at its offset. Its offset becomes the new revision, so revisions
+only increase. The publication id does not affect the decision: a publication that is
+appended twice is rejected the second time because of its base. A fold that starts late
+therefore agrees with one that starts at the first record.
+
+The log trims old records. A fold that missed some records is *uncertain*: it keeps the
+revision in force, but decides no publication until a restatement of the accepted
+state, from the log or from a peer, covers every missed record.
 """
 
 from collections.abc import Mapping, Sequence
@@ -21,14 +21,14 @@
 from ._records import ANY_REVISION, NO_REVISION, LogRecord, Publication, Restatement, read_record
 from ._service_text import EMPTY_SERVICE_TEXT, ServiceText
 
-OUTCOMES_KEPT: Final = 500
-PENDING_KEPT: Final = 100
-TEXTS_KEPT: Final = 8
-REASON_CHARACTERS: Final = 2_000
+MAX_OUTCOMES: Final = 500
+MAX_PENDING_PUBLICATIONS: Final = 100
+PARSED_TEXT_CACHE_SIZE: Final = 8
+MAX_REASON_CHARACTERS: Final = 2_000
 
 
-class Outcome(NamedTuple):
-    """What became of one publication."""
+class PublicationOutcome(NamedTuple):
+    """Whether one publication was accepted, and the reason if it was rejected."""
 
     publication_id: str
     offset: int
@@ -37,10 +37,10 @@
 
 
 class ConfigState(NamedTuple):
-    """What a fold knows after all records up to and including ``folded_to``.
+    """The state of a fold after all records up to and including ``folded_to``.
 
     Some records before ``unread_below`` were trimmed before this fold read them;
-    0 means that none were. While it is uncertain, publications wait in
+    0 means that none were. While the fold is uncertain, publications are queued in
     ``pending``.
     """
 
@@ -51,7 +51,7 @@
     folded_to: int = -1
     unread_below: int = 0
     pending: Sequence[LogRecord] = ()
-    outcomes: Mapping[str, Outcome] = {}
+    outcomes: Mapping[str, PublicationOutcome] = {}
 
     @property
     def certain(self) -> bool:
@@ -64,41 +64,41 @@
 ) -> ConfigState:
     """Return the state after ``records``, which follow ``state.folded_to``.
 
-    ``first_kept_offset`` is the oldest offset that the log still held when they
-    were read. Records at or before ``state.folded_to`` are passed over, so that a
-    batch which is read twice changes nothing.
+    ``first_kept_offset`` is the oldest offset that the log still held when the
+    records were read. Records at or before ``state.folded_to`` are ignored, so
+    folding the same batch twice has no effect.
     """
-    state = _skip_to(state, first_kept_offset)
+    state = _advance_to(state, first_kept_offset)
     for record in records:
         if record.offset > state.folded_to:
-            state = _skip_to(state, record.offset)
+            state = _advance_to(state, record.offset)
             state = _fold_record(state, record)._replace(folded_to=record.offset)
     return state
 
 
 def adopt_peer_state(state: ConfigState, peer: Restatement) -> ConfigState:
-    """Return the state after a peer told what it has in force.
+    """Return the state after a peer reported the state that it has in force.
 
-    The revision never falls, and a state that does not reach the end of the
-    records that were missed leaves the fold uncertain.
+    The revision never decreases. If the peer's state does not cover every missed
+    record, the fold stays uncertain.
     """
     return _apply_restatement(state, peer)
 
 
 def restatement_from_state(state: ConfigState) -> Restatement:
-    """Return what a node may tell a peer: no more than it knows for certain."""
-    covers_to = state.folded_to if state.certain else state.revision
-    return Restatement(state.revision, covers_to, state.text, state.operator)
+    """Return a restatement that covers only the offsets for which ``state`` is certain."""
+    covered_to = state.folded_to if state.certain else state.revision
+    return Restatement(state.revision, covered_to, state.text, state.operator)
 
 
-def _skip_to(state: ConfigState, next_offset: int) -> ConfigState:
-    """Return the state when the next record to fold is the one at ``next_offset``."""
+def _advance_to(state: ConfigState, next_offset: int) -> ConfigState:
+    """Return the state with ``next_offset`` as the next offset to fold."""
     if next_offset <= state.folded_to + 1:
         return state
-    # Records were trimmed before this node read them. One of them may have
-    # replaced the revision in force; accepting a publication on top of the old
-    # one would then differ from what the other nodes accepted. What was pending
-    # lies before the gap: whatever closes the gap decides it too.
+    # Records were trimmed before this node read them. One of them may have replaced
+    # the revision in force, and accepting a publication based on the old revision
+    # would then diverge from the other nodes. Pending publications precede the gap, so
+    # the restatement that covers the gap covers them too.
     return state._replace(folded_to=next_offset - 1, unread_below=next_offset, pending=())
 
 
@@ -106,15 +106,16 @@
     match read_record(record.payload):
         case Publication(base=base) as publication if state.certain or base == ANY_REVISION:
             return _decide(state, record.offset, publication)
-        case Publication() if len(state.pending) >= PENDING_KEPT:
-            # Memory is bounded: the waiting ones become part of the gap.
+        case Publication() if len(state.pending) >= MAX_PENDING_PUBLICATIONS:
+            # Bounds memory: the pending publications become part of the gap.
             return state._replace(pending=(), unread_below=record.offset + 1)
         case Publication():
             return state._replace(pending=(*state.pending, record))
-        case Restatement() as restatement if restatement.covers_to < record.offset:
+        case Restatement() as restatement if restatement.covered_to < record.offset:
             return _apply_restatement(state, restatement)
-    # Unknown, or a restatement of records that come after it: no node with a
-    # right fold writes one, and believing it would skip what lies between.
+    # Ignores unknown records, and a restatement that covers its own offset or later
+    # ones: a correct node never writes one, and applying it would skip the records in
+    # between.
     return state
 
 
@@ -123,11 +124,11 @@
         in_force = f"revision {state.revision} by {state.operator or 'nobody'}"
         reason = f"made from revision {publication.base}, but {in_force} is in force"
         return _with_outcome(state, publication, offset, accepted=False, reason=reason)
-    services = _check_text(publication.text)
+    services = _parse_text(publication.text)
     if isinstance(services, str):
         return _with_outcome(state, publication, offset, accepted=False, reason=services)
-    # A publication on any base settles an uncertain fold as well: whatever was
-    # in force before it, it is in force now, at every node.
+    # A publication with ANY_REVISION as its base also makes an uncertain fold certain:
+    # every node accepts it, whatever was in force before.
     state = state._replace(
         revision=offset,
         text=publication.text,
@@ -145,22 +146,22 @@
     outcomes = dict(state.outcomes)
     known = outcomes.get(publication.publication_id)
     if known is None or (accepted and not known.accepted):
-        outcomes[publication.publication_id] = Outcome(
+        outcomes[publication.publication_id] = PublicationOutcome(
             publication.publication_id, offset, accepted, reason
         )
-    while len(outcomes) > OUTCOMES_KEPT:
+    while len(outcomes) > MAX_OUTCOMES:
         del outcomes[next(iter(outcomes))]
     return state._replace(outcomes=outcomes)
 
 
 def _apply_restatement(state: ConfigState, restatement: Restatement) -> ConfigState:
-    """Take over what a restatement adds, then decide what waited behind it."""
-    covers_to = restatement.covers_to
+    """Apply a restatement, then decide the pending publications that follow it."""
+    covered_to = restatement.covered_to
     if restatement.revision < state.revision:
         return state
-    if state.certain and covers_to <= state.folded_to:
-        # A certain fold has decided every record up to covers_to itself. A
-        # restatement that disagrees there was written by a node with a fault.
+    if state.certain and covered_to <= state.folded_to:
+        # A certain fold has already decided every record up to covered_to. If the
+        # restatement disagrees, the node that wrote it is faulty.
         return state
     services = _read_restated_text(restatement)
     if services is None:
@@ -171,45 +172,52 @@
         operator=restatement.operator,
         services=services,
     )
-    if not state.certain and covers_to < state.unread_below - 1:
-        # It was in force once, but a record that this fold missed may have
-        # replaced it since: still no ground to decide publications on.
+    if not state.certain and covered_to < state.unread_below - 1:
+        # A missed record after covered_to may have replaced the restated revision,
+        # so publications cannot be decided yet.
         return state
     pending = state.pending
-    state = state._replace(folded_to=max(state.folded_to, covers_to), unread_below=0, pending=())
+    state = state._replace(folded_to=max(state.folded_to, covered_to), unread_below=0, pending=())
     for record in pending:
-        if record.offset > covers_to:
+        if record.offset > covered_to:
             state = _fold_record(state, record)
         else:
-            state = _note_decided(state, record, restatement)
+            state = _record_covered_publication(state, record, restatement)
     return state
 
 
-def _note_decided(state: ConfigState, record: LogRecord, settled: Restatement) -> ConfigState:
-    """Keep the outcome of a publication that others decided before this fold could."""
+def _record_covered_publication(
+    state: ConfigState, record: LogRecord, restatement: Restatement
+) -> ConfigState:
+    """Record the outcome of a pending publication that ``restatement`` covers."""
     publication = read_record(record.payload)
-    if not isinstance(publication, Publication) or record.offset < settled.revision:
-        # Before the revision in force: it may have been accepted and replaced since.
+    if not isinstance(publication, Publication) or record.offset < restatement.revision:
+        # Precedes the revision in force: it may have been accepted and then replaced.
         return state
-    accepted = record.offset == settled.revision
+    accepted = record.offset == restatement.revision
     reason = (
-        "" if accepted else f"revision {settled.revision} by {settled.operator} stayed in force"
+        ""
+        if accepted
+        else f"revision {restatement.revision} by {restatement.operator} remained in force"
     )
     return _with_outcome(state, publication, record.offset, accepted=accepted, reason=reason)
 
 
 def _read_restated_text(restatement: Restatement) -> ServiceText | None:
-    """Return the typed text, or None for a text that no publication put in force."""
+    """Return the parsed text, or None if it is invalid and so was never in force."""
     if restatement.revision == NO_REVISION:
         return EMPTY_SERVICE_TEXT
-    services = _check_text(restatement.text)
+    services = _parse_text(restatement.text)
     return None if isinstance(services, str) else services
 
 
-@lru_cache(maxsize=TEXTS_KEPT)
-def _check_text(text: str) -> ServiceText | str:
-    """Return the typed text, or what is wrong in it; restatements repeat a text often."""
+@lru_cache(maxsize=PARSED_TEXT_CACHE_SIZE)
+def _parse_text(text: str) -> ServiceText | str:
+    """Return the parsed text, or the error message if it is invalid.
+
+    Cached, because restatements repeat the same text often.
+    """
     try:
         return read_service_text(text)
     except DocumentError as error:
-        return str(error)[:REASON_CHARACTERS]
+        return str(error)[:MAX_REASON_CHARACTERS]
--- a/samphirecleat/config/_records.py
+++ b/samphirecleat/config/_records.py
@@ -1,23 +1,23 @@
-"""The records of the configuration stream, and their payloads in the log."""
+"""The record types of the configuration stream and their log payloads."""
 
 from collections.abc import Mapping
 from typing import Any, Final, NamedTuple
 
 NO_REVISION: Final = -1
 ANY_REVISION: Final = -2
-"""A base that accepts whatever is in force: the operator's way out when the
-accepted state is lost for good (no node lives and the log has trimmed it)."""
+"""A base that matches any revision in force. Operators use it to recover when the
+accepted state is lost: no node is running and the log has trimmed it."""
 
 
 class LogRecord(NamedTuple):
-    """One record of a stream of the log."""
+    """One record of a log stream."""
 
     offset: int
     payload: Mapping[str, Any]
 
 
 class Publication(NamedTuple):
-    """An operator's wish to put a text in force in place of revision ``base``."""
+    """An operator's request to replace revision ``base`` with ``text``."""
 
     publication_id: str
     base: int
@@ -26,9 +26,9 @@
 
 
 class Restatement(NamedTuple):
-    """The accepted state, stated again before the log trims it away, or by a peer.
+    """The accepted state, repeated in the log before it is trimmed, or sent by a peer.
 
-    Every record up to and including ``folded_to`` is taken into account in it.
+    It reflects every record up to and including ``folded_to``.
     """
 
     revision: int
@@ -37,48 +37,51 @@
     operator: str
 
     @property
-    def covers_to(self) -> int:
-        """The last offset that it speaks for.
+    def covered_to(self) -> int:
+        """The last offset at which this restatement is known to hold.
 
-        At the offset that is its revision's own, that revision was in force for
-        certain, also when its writer has missed records since.
+        The revision was certainly in force at its own offset, even if the writer has
+        missed later records.
         """
         return max(self.revision, self.folded_to)
 
 
 def read_record(payload: Mapping[str, Any]) -> Publication | Restatement | None:
-    """Return the typed record, or None for one that is unknown or malformed."""
+    """Return the decoded record, or None if its type is unknown or it is malformed."""
     try:
         match payload.get("type"):
             case "publication":
                 return Publication(
-                    _as_text(payload["id"]),
+                    _as_string(payload["id"]),
                     int(payload["base"]),
-                    _as_text(payload["text"]),
-                    _as_text(payload["operator"]),
+                    _as_string(payload["text"]),
+                    _as_string(payload["operator"]),
                 )
             case "restatement":
                 return Restatement(
                     int(payload["revision"]),
                     int(payload["folded_to"]),
-                    _as_text(payload["text"]),
-                    _as_text(payload["operator"]),
+                    _as_string(payload["text"]),
+                    _as_string(payload["operator"]),
                 )
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError):
         return None
     return None
 
 
-def _as_text(value: object) -> str:
-    """Return a text that can be passed on; half a surrogate pair raises ValueError."""
+def _as_string(value: object) -> str:
+    """Return ``value`` if it is a string that can be encoded as UTF-8.
+
+    :raises ValueError: for another type or an unpaired surrogate.
+    """
     if not isinstance(value, str):
-        raise ValueError("a text is expected")
+        raise ValueError("expected a string")
     value.encode()
     return value
 
 
 def publication_payload(publication: Publication) -> Mapping[str, Any]:
-    """Return the log payload of a publication; the inverse of :func:`read_record`."""
+    """Return the log payload of a publication, which :func:`read_record` decodes."""
     return {
         "type": "publication",
         "id": publication.publication_id,
@@ -89,5 +92,5 @@
 
 
 def restatement_payload(restatement: Restatement) -> Mapping[str, Any]:
-    """Return the log payload of a restatement; the inverse of :func:`read_record`."""
+    """Return the log payload of a restatement, which :func:`read_record` decodes."""
     return {"type": "restatement", **restatement._asdict()}
--- a/samphirecleat/config/_service_text.py
+++ b/samphirecleat/config/_service_text.py
@@ -1,4 +1,4 @@
-"""What the operators' service text says, as typed data."""
+"""The types of a validated service text."""
 
 from collections.abc import Mapping, Sequence
 from enum import Enum
@@ -6,7 +6,7 @@
 
 
 class ServiceKind(Enum):
-    """What stands behind a service."""
+    """The kind of backend that serves a service."""
 
     ENGINE = "engine"
     PLAIN = "plain"
@@ -14,14 +14,14 @@
 
 
 class TargetAddress(NamedTuple):
-    """Where one target of a service listens."""
+    """The address and availability zone of one target of a service."""
 
     address: str
     zone: str
 
 
 class Method(NamedTuple):
-    """One call that a service offers."""
+    """A method of a service; ``max_s`` caps the deadline of its calls, in seconds."""
 
     name: str
     idempotent: bool
@@ -29,12 +29,12 @@
 
 
 class Service(NamedTuple):
-    """One service of the text.
+    """One service of a service text.
 
-    ``staleness_weight`` runs from 0.0 (only trainer idle time counts) to 1.0
-    (only staleness counts). ``max_swapping_share`` bounds the share of the
-    service's targets that load new weights at one time. An empty ``targets``
-    means that they are found in the host list.
+    ``staleness_weight`` ranges from 0.0 (only trainer idle time counts) to 1.0
+    (only staleness counts). ``max_swapping_share`` limits the share of the service's
+    targets that load new weights at the same time. If ``targets`` is empty, they are
+    discovered through the host list.
     """
 
     name: str
@@ -52,7 +52,7 @@
 
 
 class Trainer(NamedTuple):
-    """One trainer, the service that makes its samples, and its fair share."""
+    """A trainer, the service that generates its samples, and its fair-share weight."""
 
     name: str
     service: str
@@ -60,7 +60,7 @@
 
 
 class ServiceText(NamedTuple):
-    """A whole service text that has been checked."""
+    """A validated service text."""
 
     services: Mapping[str, Service]
     trainers: Mapping[str, Trainer]
--- a/tests/config/__init__.py
+++ b/tests/config/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the service text and its fold."""
+"""Tests of the service text and the configuration fold."""
--- a/tests/test_jsonc.py
+++ b/tests/test_jsonc.py
@@ -51,7 +51,7 @@
     "unknown dependency": (
         '{"services": {"a": {"kind": "engine", "depends_on": ["b"]}}}',
         "depends_on",
-        '"b" is no service',
+        '"b" is not a service',
     ),
     "circular": (
         '{"services": {"a": {"kind": "engine", "depends_on": ["b"]},'
