--- a/samphirecleat/_strong_hosts.py
+++ b/samphirecleat/_strong_hosts.py
@@ -7,6 +7,6 @@
 STRONG_SHARE: Final = 0.6
 
 
-def strong_from_cores(cores: Iterable[float]) -> float:
+def strong_host_min_cores(cores: Iterable[float]) -> float:
     """Return the processor time from which on a host is strong, 0.0 without any host."""
     return STRONG_SHARE * max(cores, default=0.0)
--- a/samphirecleat/durable/_election.py
+++ b/samphirecleat/durable/_election.py
@@ -8,7 +8,7 @@
 from collections.abc import Collection, Sequence
 from typing import Final, NamedTuple
 
-from .._strong_hosts import strong_from_cores
+from .._strong_hosts import strong_host_min_cores
 from ._fold import Claim
 
 # A node that sees less than half of the known members may itself be partitioned. It claims only
@@ -61,7 +61,7 @@
 
     Node ids break ties.
     """
-    strong_cores = strong_from_cores(candidate.cores for candidate in candidates)
+    strong_cores = strong_host_min_cores(candidate.cores for candidate in candidates)
     newest_ms = max((candidate.started_at_ms for candidate in candidates), default=0)
 
     def rank(candidate: Candidate) -> tuple[bool, bool, bool, str]:
--- a/samphirecleat/observe/__init__.py
+++ b/samphirecleat/observe/__init__.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from .._lazy_exports import lazy_exports
-from ._logs import BoundedHandler, JsonFormatter, PrefixedLog, make_formatter
+from ._logs import JsonFormatter, PrefixedLog, RateLimitedHandler, make_formatter
 from ._metrics import (
     Histograms,
     Metrics,
@@ -18,7 +18,7 @@
     from ._spans import RecentSpans, SpanRow
 
 __all__ = [
-    "BoundedHandler",
+    "RateLimitedHandler",
     "Histograms",
     "JsonFormatter",
     "Metrics",
--- a/samphirecleat/observe/_logs.py
+++ b/samphirecleat/observe/_logs.py
@@ -47,7 +47,7 @@
     return JsonFormatter() if log_format == "json" else logging.Formatter(HUMAN_FORMAT)
 
 
-class BoundedHandler(logging.StreamHandler[TextIO]):
+class RateLimitedHandler(logging.StreamHandler[TextIO]):
     """Writes at most ``lines_per_s`` lines; of those beyond, it tells how many there were.
 
     A fault that every request meets would else write more than the host can carry, and the
--- a/samphirecleat/platform/__main__.py
+++ b/samphirecleat/platform/__main__.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from ..observe import BoundedHandler, make_formatter
+from ..observe import RateLimitedHandler, make_formatter
 from ._boot_settings import SETTINGS_VARIABLE, BootSettingsError, read_boot_settings
 from ._platform_node import PlatformNode
 
@@ -31,7 +31,7 @@
         print(f"{path}: good")
         return
     settings = settings._replace(metrics_port=_metrics_port(sys.argv[1:]))
-    handler = BoundedHandler(sys.stdout, LOG_LINES_PER_S)
+    handler = RateLimitedHandler(sys.stdout, LOG_LINES_PER_S)
     handler.setFormatter(make_formatter("json"))
     logging.basicConfig(level=logging.INFO, handlers=[handler], force=True)
     uvloop.run(_run(PlatformNode(settings), path))
--- a/samphirecleat/serving/_entry_choice.py
+++ b/samphirecleat/serving/_entry_choice.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from typing import Final
 
-from .._strong_hosts import strong_from_cores
+from .._strong_hosts import strong_host_min_cores
 from ..blackboard import Member
 
 # Fleets up to this size advertise every node, so that losing one affects few callers.
@@ -29,7 +29,7 @@
     wanted = max(MIN_ADVERTISED, math.ceil(len(members) * ADVERTISED_SHARE))
     if len(members) <= wanted:
         return members
-    strong_cores = strong_from_cores(member.cores for member in members)
+    strong_cores = strong_host_min_cores(member.cores for member in members)
 
     def rank(member: Member) -> tuple[bool, bytes]:
         weak = member.cores < strong_cores
--- a/tests/client/test_caller.py
+++ b/tests/client/test_caller.py
@@ -12,7 +12,7 @@
 from samphirecleat.errors import ErrorKind, Ran, RequestError
 from samphirecleat.node import Node
 from samphirecleat.trial._fleet import Fleet
-from tests.fleets import Relay, running_fleet, until
+from tests.fleets import TcpProxy, running_fleet, until
 
 BODY = {"prompt": "a quote", "max_tokens": 20}
 
@@ -21,7 +21,7 @@
     """A fleet of three nodes, each behind a relay, and a client."""
 
     fleet: Fleet
-    relays: dict[str, Relay]
+    relays: dict[str, TcpProxy]
     client: CallerClient
 
     def runs(self) -> int:
@@ -47,7 +47,7 @@
     async with running_fleet(3) as fleet, aiohttp.ClientSession() as session:
         relays = {}
         for node in fleet.nodes:
-            relay = Relay(node.settings.http_address)
+            relay = TcpProxy(node.settings.http_address)
             await relay.start()
             relays[node.settings.node_id] = relay
             node.board.identity = node.board.identity._replace(http_address=relay.address)
@@ -91,13 +91,13 @@
     if how == "killed":
         await setting.kill(owner)
     elif how == "cut":
-        relay.cut()
+        relay.abort_connections()
     elif how == "silent":
-        relay.silence()
+        relay.stall_connections()
     elif how == "frozen":
         relay.freeze()
     elif how == "leaving":
-        relay.cut()
+        relay.abort_connections()
         setting.fleet.nodes.remove(owner)
         await owner.drain()
         await owner.stop()
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -37,7 +37,7 @@
             await asyncio.sleep(0.01)
 
 
-class Relay:
+class TcpProxy:
     """Passes TCP connections on to an address, and can cut or silence them."""
 
     def __init__(self, to_address: str) -> None:
@@ -45,7 +45,7 @@
         self._frozen = False
         self._links: list[tuple[asyncio.Event, asyncio.StreamWriter, asyncio.StreamWriter]] = []
         self._tasks: set[asyncio.Task[None]] = set()
-        self.bytes_back = 0
+        self.bytes_to_client = 0
         self.address = ""
 
     async def start(self) -> None:
@@ -57,12 +57,12 @@
     async def stop(self) -> None:
         """Stop listening and close every connection."""
         self._server.close()
-        self.cut()
+        self.abort_connections()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def silence(self) -> None:
+    def stall_connections(self) -> None:
         """Pass nothing more on connections that are open now; new ones work."""
         for silent, _near, _far in self._links:
             silent.set()
@@ -70,9 +70,9 @@
     def freeze(self) -> None:
         """Accept connections, and pass nothing on any of them, as a stopped process does."""
         self._frozen = True
-        self.silence()
+        self.stall_connections()
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
         """Close every connection that is open now."""
         for _silent, near, far in self._links:
             near.transport.abort()
@@ -101,7 +101,7 @@
             while data := await source.read(65_536):
                 if silent.is_set():
                     await asyncio.Event().wait()
-                self.bytes_back += len(data) if back else 0
+                self.bytes_to_client += len(data) if back else 0
                 sink.write(data)
         except ConnectionError:
             return
--- a/tests/observe/test_bounded_logs.py
+++ b/tests/observe/test_bounded_logs.py
@@ -3,7 +3,7 @@
 import io
 import logging
 
-from samphirecleat.observe import BoundedHandler
+from samphirecleat.observe import RateLimitedHandler
 
 
 def test_a_flood_is_cut_and_counted_and_warnings_go_before() -> None:
@@ -13,7 +13,7 @@
     the gap for calm.
     """
     now, stream = [0.0], io.StringIO()
-    handler = BoundedHandler(stream, 8, lambda: now[0])
+    handler = RateLimitedHandler(stream, 8, lambda: now[0])
     logger = logging.Logger("flood")
     logger.addHandler(handler)
     for number in range(20):
--- a/tests/peers/test_forward.py
+++ b/tests/peers/test_forward.py
@@ -16,7 +16,7 @@
 from samphirecleat.peers.peers_pb2 import ForwardRequest
 from samphirecleat.requests import AnswerLine, Call, RequestStatus, RunState, WorkClass
 from samphirecleat.trial import free_port
-from tests.fleets import Relay, until
+from tests.fleets import TcpProxy, until
 
 SHARED_KEY = "a-shared-key-of-two-nodes"
 PERIOD_S = 0.4
@@ -50,7 +50,7 @@
 
     client: PeerClient
     owner: Owner
-    relay: Relay
+    relay: TcpProxy
     server: Server
 
     async def forward(self, deadline_in_s: float = 5.0) -> Sequence[AnswerLine]:
@@ -77,7 +77,7 @@
     server = Server([PeerServer(SHARED_KEY, owner.serve, owner.status, ConfigState, dict, list)])
     port = free_port()
     await server.start("127.0.0.1", port)
-    relay = Relay(f"127.0.0.1:{port}")
+    relay = TcpProxy(f"127.0.0.1:{port}")
     await relay.start()
     client = PeerClient(client_key, PERIOD_S)
     yield Pair(client, owner, relay, server)
@@ -97,7 +97,7 @@
     async def scenario() -> None:
         async with make_pair() as pair:
             forwarding = asyncio.create_task(pair.forward(deadline_in_s=4.0))
-            await until(lambda: pair.relay.bytes_back > 0)
+            await until(lambda: pair.relay.bytes_to_client > 0)
             await asyncio.sleep(3 * PERIOD_S)
             pair.owner.go_on.set()
             assert [line["text"] for line in await forwarding] == ["a", "b"]
@@ -124,9 +124,9 @@
                 await until(lambda: len(pair.owner.deadlines_s) == 1)
                 await asyncio.sleep(0.05)
             if how == "cut":
-                pair.relay.cut()
+                pair.relay.abort_connections()
             if how == "silent":
-                pair.relay.silence()
+                pair.relay.stall_connections()
                 pair.owner.state = RunState.ENDED
                 pair.owner.go_on.set()
             assert await error_of(forwarding) == (ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN)
