--- a/samphirecleat/observe/__init__.py
+++ b/samphirecleat/observe/__init__.py
@@ -33,5 +33,5 @@
     "summarize",
 ]
 
-# Spans bring the tracing library with them.
+# Loaded lazily because the spans import the tracing library.
 __getattr__ = lazy_exports(__name__, {"RecentSpans": "_spans", "SpanRow": "_spans"})
--- a/samphirecleat/observe/_metrics.py
+++ b/samphirecleat/observe/_metrics.py
@@ -1,4 +1,4 @@
-"""Histograms and counters of a node, and how those of many nodes become one."""
+"""Histograms and counters of a node, and merging them across nodes."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -6,70 +6,70 @@
 
 from hdrh.histogram import HdrHistogram
 
-LOWEST_US: Final = 1
-HIGHEST_US: Final = 3_600_000_000
+MIN_VALUE_US: Final = 1
+MAX_VALUE_US: Final = 3_600_000_000
 SIGNIFICANT_DIGITS: Final = 2
 PERCENTILES: Final = (50.0, 90.0, 99.0, 99.9)
 
 
 class Metrics(NamedTuple):
-    """Counters, and histograms in hdrhistogram's encoded form, by name."""
+    """Counters and encoded HdrHistograms, by name."""
 
     counters: Mapping[str, int]
     histograms: Mapping[str, str]
 
 
 class MetricsFormatError(Exception):
-    """Metrics of another node that are not understood."""
+    """Metrics received from another node cannot be decoded."""
 
 
 class Histograms:
-    """Durations by name, in whole microseconds."""
+    """Histograms of durations by name, with microsecond resolution."""
 
     def __init__(self) -> None:
-        """Start with none; a histogram is made when its first value comes."""
+        """Start empty; a histogram is created when its first value is recorded."""
         self._histograms: dict[str, HdrHistogram] = {}
 
     def record_s(self, name: str, value_s: float) -> None:
-        """Record a duration; one beyond an hour counts as an hour."""
+        """Record a duration; values above one hour are recorded as one hour."""
         histogram = self._histograms.get(name)
         if histogram is None:
             histogram = _new_histogram()
             self._histograms[name] = histogram
-        histogram.record_value(max(LOWEST_US, min(HIGHEST_US, int(value_s * 1e6))))
+        histogram.record_value(max(MIN_VALUE_US, min(MAX_VALUE_US, int(value_s * 1e6))))
 
     def encoded(self) -> Mapping[str, str]:
-        """Return every histogram in its encoded form, which can be merged."""
+        """Return every histogram in its encoded form, which :func:`merge_metrics` can merge."""
         return {name: h.encode().decode() for name, h in self._histograms.items()}
 
 
-def merge_metrics(parts: Iterable[Metrics]) -> Metrics:
-    """Return the metrics of several nodes as one.
+def merge_metrics(node_metrics: Iterable[Metrics]) -> Metrics:
+    """Merge the metrics of several nodes.
 
-    :raises MetricsFormatError: when a part holds a histogram that cannot be read.
+    :raises MetricsFormatError: if a histogram cannot be decoded.
     """
     counters: Counter[str] = Counter()
     histograms: dict[str, HdrHistogram] = {}
-    for part in parts:
-        counters.update(part.counters)
-        for name, encoded in part.histograms.items():
+    for metrics in node_metrics:
+        counters.update(metrics.counters)
+        for name, encoded in metrics.histograms.items():
             histograms.setdefault(name, _new_histogram()).add(_decode(name, encoded))
     merged = {name: histogram.encode().decode() for name, histogram in histograms.items()}
     return Metrics(dict(counters), merged)
 
 
 def summarize(metrics: Metrics) -> Mapping[str, Mapping[str, float]]:
-    """Return count, mean and percentiles in milliseconds of each histogram.
+    """Return the count, mean and percentiles of each histogram, in milliseconds.
 
-    :raises MetricsFormatError: when a histogram cannot be read.
+    :raises MetricsFormatError: if a histogram cannot be decoded.
     """
     return {name: _summary(_decode(name, text)) for name, text in metrics.histograms.items()}
 
 
 def read_metrics(body: Mapping[str, Any]) -> Metrics:
-    """Return the metrics of a node's JSON answer.
+    """Return the metrics in the body of a node's JSON response.
 
-    :raises MetricsFormatError: when it does not hold any.
+    :raises MetricsFormatError: if the body is malformed.
     """
     try:
         counters = {str(name): int(count) for name, count in body["counters"].items()}
@@ -80,15 +80,15 @@
 
 
 def _new_histogram() -> HdrHistogram:
-    return HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
+    return HdrHistogram(MIN_VALUE_US, MAX_VALUE_US, SIGNIFICANT_DIGITS)
 
 
 def _decode(name: str, encoded: str) -> HdrHistogram:
     try:
         return HdrHistogram.decode(encoded)
     except Exception as error:
-        # The library raises many kinds for a text that it cannot decode.
-        raise MetricsFormatError(f"histogram {name}: {error!r}") from error
+        # The library raises exceptions of many types for undecodable input.
+        raise MetricsFormatError(f"cannot decode histogram {name}: {error!r}") from error
 
 
 def _summary(histogram: HdrHistogram) -> Mapping[str, float]:
--- a/samphirecleat/observe/_observer.py
+++ b/samphirecleat/observe/_observer.py
@@ -1,4 +1,4 @@
-"""What one node tells of itself; readable at the node, without a collector."""
+"""The logs, traces and metrics of one node, readable at the node without a collector."""
 
 import logging
 from collections import Counter
@@ -14,25 +14,25 @@
 
 
 class Observer:
-    """Logs, spans, histograms and counters; the parts get it from the composition root."""
+    """Logs, spans, histograms and counters of a node, shared by all of its components."""
 
     def __init__(self, node_id: str) -> None:
-        """Name the node in all that is told."""
+        """Use ``node_id`` as the logger name and as a resource attribute of spans."""
         self._node_id = node_id
-        self._opened: Tracing | None = None
+        self._tracing: Tracing | None = None
         self._logger = logging.getLogger(f"samphirecleat.{node_id}")
         self._histograms = Histograms()
         self.counters: Counter[str] = Counter()
 
     def log(self, part: str) -> logging.LoggerAdapter[logging.Logger]:
-        """Return the log of a part, which sets the part's fixed prefix."""
+        """Return the logger of a component, which prefixes messages with ``[part]``."""
         return PrefixedLog(self._logger, part)
 
     @contextmanager
     def span(self, name: str, traceparent: str, **attributes: str) -> Iterator[str]:
-        """Open a span below ``traceparent`` and yield the one to pass on."""
-        with self._tracing().span(name, traceparent, attributes) as own:
-            yield own
+        """Open a child span of ``traceparent`` and yield the new span's traceparent."""
+        with self._get_tracing().span(name, traceparent, attributes) as child_traceparent:
+            yield child_traceparent
 
     def record_s(self, name: str, value_s: float) -> None:
         """Record a duration in the histogram ``name``."""
@@ -47,20 +47,20 @@
         return Metrics(dict(self.counters), self.histograms())
 
     def metric_lines(self) -> Sequence[str]:
-        """Return ``name value`` lines of all counters and of the histograms' percentiles."""
+        """Return one ``name value`` line per counter and per histogram statistic."""
         lines = [f"{name} {count}" for name, count in sorted(self.counters.items())]
         for name, row in sorted(summarize(self.metrics()).items()):
-            lines.extend(f"{name}_{part} {value:g}" for part, value in row.items())
+            lines.extend(f"{name}_{statistic} {value:g}" for statistic, value in row.items())
         return lines
 
     def spans(self, trace: str = "") -> Sequence[Mapping[str, Any]]:
-        """Return the newest spans, oldest first, of one trace or of all."""
-        return self._opened.rows(trace) if self._opened is not None else []
+        """Return the most recent spans, oldest first, of ``trace`` or of all traces."""
+        return self._tracing.rows(trace) if self._tracing is not None else []
 
-    def _tracing(self) -> "Tracing":
-        """Return what traces are made with, loaded at the first span."""
-        if self._opened is None:
+    def _get_tracing(self) -> "Tracing":
+        """Return the tracer; its library is imported when the first span is opened."""
+        if self._tracing is None:
             from ._tracing import Tracing
 
-            self._opened = Tracing(self._node_id)
-        return self._opened
+            self._tracing = Tracing(self._node_id)
+        return self._tracing
--- a/samphirecleat/observe/_spans.py
+++ b/samphirecleat/observe/_spans.py
@@ -1,4 +1,4 @@
-"""The newest spans of a node, kept small enough to stay in memory."""
+"""A bounded in-memory store of the most recent spans of a node."""
 
 from collections import deque
 from collections.abc import Mapping, Sequence
@@ -6,11 +6,11 @@
 
 from opentelemetry.sdk.trace import ReadableSpan, SpanProcessor
 
-SPANS_KEPT: Final = 1000
+MAX_SPANS: Final = 1000
 
 
 class SpanRow(NamedTuple):
-    """An ended span; times are in nanoseconds of this host's clock."""
+    """A finished span; times are nanoseconds since the epoch on this host's clock."""
 
     trace: str
     span: str
@@ -22,22 +22,22 @@
 
 
 class RecentSpans(SpanProcessor):
-    """Keeps the newest ended spans.
+    """Stores the most recent finished spans.
 
-    What the SDK hands over holds events, links and resources as well, several
-    kilobytes a span; only what an operator reads is kept.
+    The spans of the SDK also hold events, links and resources, several kilobytes each.
+    Only the fields that operators read are stored.
     """
 
     def __init__(self) -> None:
-        """Start with none."""
-        self._rows: deque[SpanRow] = deque(maxlen=SPANS_KEPT)
+        """Start without spans."""
+        self._rows: deque[SpanRow] = deque(maxlen=MAX_SPANS)
 
     def on_end(self, span: ReadableSpan) -> None:
-        """Keep a span that ended."""
+        """Store a finished span."""
         self._rows.append(_make_row(span))
 
     def rows(self, trace: str = "") -> Sequence[SpanRow]:
-        """Return the spans, oldest first, of one trace or of all."""
+        """Return the spans, oldest first, of ``trace`` or of all traces."""
         return [row for row in self._rows if not trace or row.trace == trace]
 
 
--- a/samphirecleat/observe/_tracing.py
+++ b/samphirecleat/observe/_tracing.py
@@ -1,7 +1,7 @@
-"""Traces with a span for each hop, kept at the node.
+"""Distributed tracing with one span per hop, stored at the node.
 
-A module of its own: its library takes several megabytes, and a daemon that opens no span need
-not load it.
+This is a separate module because the tracing library takes several megabytes of memory, and a
+daemon that opens no spans does not need to import it.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
@@ -19,10 +19,10 @@
 
 
 class Tracing:
-    """Opens spans for one node and keeps the newest."""
+    """Opens spans for one node and stores the most recent ones."""
 
     def __init__(self, node_id: str) -> None:
-        """Name the node in every span."""
+        """Set ``node_id`` as a resource attribute of every span."""
         self._spans = RecentSpans()
         provider = TracerProvider(
             resource=Resource({"service.name": "samphirecleat", "node": node_id}),
@@ -33,7 +33,7 @@
 
     @contextmanager
     def span(self, name: str, traceparent: str, attributes: Mapping[str, str]) -> Iterator[str]:
-        """Open a span below ``traceparent`` and yield the one to pass on."""
+        """Open a child span of ``traceparent`` and yield the new span's traceparent."""
         parent = _PROPAGATOR.extract({"traceparent": traceparent})
         with self._tracer.start_as_current_span(name, parent, attributes=attributes) as span:
             carrier: dict[str, str] = {}
@@ -41,5 +41,5 @@
             yield carrier.get("traceparent", "")
 
     def rows(self, trace: str) -> Sequence[Mapping[str, Any]]:
-        """Return the newest spans, oldest first, of one trace or of all."""
+        """Return the most recent spans, oldest first, of one trace or, if empty, of all."""
         return [row._asdict() for row in self._spans.rows(trace)]
--- a/tests/observe/test_bounded_logs.py
+++ b/tests/observe/test_bounded_logs.py
@@ -1,4 +1,4 @@
-"""Logs that stay bounded when a fault writes a line for every request."""
+"""Tests of the rate limit on log lines."""
 
 import io
 import logging
@@ -6,15 +6,15 @@
 from samphirecleat.observe import RateLimitedHandler
 
 
-def test_a_flood_is_cut_and_counted_and_warnings_go_before() -> None:
-    """Every call meets the same fault, and each writes a line.
+def test_excess_lines_are_dropped_and_counted_with_a_reserve_for_warnings() -> None:
+    """Every call fails with the same error and logs a line.
 
-    Unbounded, the writing slows every answer; cut without a word, an engineer would take
-    the gap for calm.
+    Without a limit, logging slows down every response. If the drops were not reported, the
+    gap would look like an absence of errors.
     """
     now, stream = [0.0], io.StringIO()
     handler = RateLimitedHandler(stream, 8, lambda: now[0])
-    logger = logging.Logger("flood")
+    logger = logging.Logger("test")
     logger.addHandler(handler)
     for number in range(20):
         logger.info("line %d", number)
@@ -25,5 +25,5 @@
         logger.error("more")
     assert stream.getvalue().count("more") == 1
     now[0] += 1.0
-    logger.info("calm")
-    assert "calm (lines dropped before: 8)" in stream.getvalue()
+    logger.info("later")
+    assert "later (lines dropped before: 8)" in stream.getvalue()
--- a/tests/observe/test_fleet_view.py
+++ b/tests/observe/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""Report, metrics and traces of a small fleet over real sockets."""
+"""Tests of the report, metrics and traces of a small fleet over real sockets."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -43,20 +43,19 @@
         await asyncio.sleep(0.05)
 
 
-def test_one_trace_runs_through_every_hop(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A quote is late, and an operator looks for the hop where the time was lost.
+def test_trace_id_is_propagated_through_every_hop(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a hop that drops the trace id, which hides where a request was slow.
 
-    The request comes in at one node, its key belongs to another, and an engine
-    answers: if a hop dropped the trace id, the late one could not be found.
+    The request enters at one node, its key is owned by another, and an engine serves it.
     """
     received: list[str] = []
     original = StandInEngine._generate
 
-    async def note_trace(self, request):
+    async def record_traceparent(self, request):
         received.append(request.headers.get("traceparent", ""))
         return await original(self, request)
 
-    monkeypatch.setattr(StandInEngine, "_generate", note_trace)
+    monkeypatch.setattr(StandInEngine, "_generate", record_traceparent)
 
     async def scenario(fleet: Fleet, session: aiohttp.ClientSession) -> None:
         owner, entry = fleet.nodes
@@ -69,13 +68,13 @@
         body = {"prompt": "bench", "max_tokens": 2}
         async with session.post(url, json=body, headers=headers) as response:
             assert response.status == 200, await response.text()
-        await until(lambda: bool(await_spans(entry)) and len(await_spans(owner)) >= 2)
+        await until(lambda: bool(traced_spans(entry)) and len(traced_spans(owner)) >= 2)
         traced_url = f"http://{owner.settings.http_address}/v1/traces?trace={TRACE}"
         async with session.get(traced_url) as response:
             names = {span["name"] for span in (await response.json())["spans"]}
         assert {"dispatch", "target"} <= names
-        assert {span["name"] for span in await_spans(entry)} >= {"entry"}
-        spans = {span["span"] for node in (owner, entry) for span in await_spans(node)}
+        assert {span["name"] for span in traced_spans(entry)} >= {"entry"}
+        spans = {span["span"] for node in (owner, entry) for span in traced_spans(node)}
         parts = received[0].split("-")
         assert parts[1] == TRACE
         assert parts[2] in spans
@@ -83,12 +82,12 @@
     run_with_fleet(scenario, 2)
 
 
-def await_spans(node):
+def traced_spans(node):
     return node.observer.spans(TRACE)
 
 
-def test_any_node_reports_and_measures_the_whole_fleet() -> None:
-    """An operator asks one node about all, while another was killed without a word."""
+def test_any_node_reports_the_state_and_metrics_of_the_fleet() -> None:
+    """One node is queried about the fleet after another was killed without announcing it."""
 
     async def scenario(fleet: Fleet, session: aiohttp.ClientSession) -> None:
         base = f"http://{fleet.nodes[0].settings.http_address}"
--- a/tests/observe/test_observer.py
+++ b/tests/observe/test_observer.py
@@ -1,4 +1,4 @@
-"""Logs, spans and metrics of one node."""
+"""Tests of the logs, spans and metrics of one node."""
 
 import json
 import logging
@@ -17,8 +17,8 @@
 )
 
 
-def test_metrics_of_two_nodes_become_one() -> None:
-    """An operator asks for the fleet's latency; a mean of percentiles would be wrong."""
+def test_metrics_of_two_nodes_are_merged() -> None:
+    """Fleet percentiles come from merged histograms, not from averaged percentiles."""
     fast, slow = Observer("fast"), Observer("slow")
     for _call in range(99):
         fast.record_s("request", 0.010)
@@ -43,20 +43,20 @@
         pytest.param({"counters": {}, "histograms": {"a": "garbage"}}, id="damaged histogram"),
     ],
 )
-def test_metrics_that_are_not_understood_are_an_error(body) -> None:
-    """Another node runs another version, or gave no answer; its figures must not be made up."""
+def test_malformed_metrics_raise_an_error(body) -> None:
+    """A node of another version, or one that did not respond, must not yield wrong values."""
     with pytest.raises(MetricsFormatError):
         summarize(read_metrics(body))
 
 
-def test_metrics_survive_their_json_form() -> None:
+def test_metrics_round_trip_through_json() -> None:
     observer = Observer("n1")
     observer.record_s("request", 0.5)
     sent = json.loads(json.dumps(observer.metrics()._asdict()))
     assert read_metrics(sent) == Metrics({}, observer.histograms())
 
 
-def test_spans_of_one_trace_are_found_and_linked() -> None:
+def test_spans_of_a_trace_are_selected_and_linked() -> None:
     observer = Observer("n1")
     with observer.span("entry", "") as outer, observer.span("dispatch", outer, service="a"):
         pass
@@ -70,7 +70,7 @@
     assert len(observer.spans()) == 3
 
 
-def test_a_json_line_holds_the_part_and_the_exception() -> None:
+def test_json_line_contains_the_part_and_the_exception() -> None:
     record = logging.LogRecord("samphirecleat.n1", logging.ERROR, "", 1, "[hosts] %s", ("x",), None)
     record.part = "hosts"
     try:
@@ -83,7 +83,7 @@
     assert not isinstance(make_formatter("human"), JsonFormatter)
 
 
-def test_the_prefix_of_a_part_stands_before_its_message(caplog) -> None:
+def test_messages_are_prefixed_with_their_part(caplog) -> None:
     with caplog.at_level(logging.INFO):
         Observer("n1").log("members").info("Node %s is gone.", "n2")
     assert caplog.messages == ["[members] Node n2 is gone."]
