--- a/samphirecleat/client/__init__.py
+++ b/samphirecleat/client/__init__.py
@@ -1,4 +1,4 @@
-"""The client library for callers and trainers, on asyncio."""
+"""The asyncio client library for callers and trainers."""
 
 from ._caller import CallAnswer, CallerClient
 from ._entries import Entry, EntryList
--- a/samphirecleat/client/_entries.py
+++ b/samphirecleat/client/_entries.py
@@ -1,4 +1,4 @@
-"""The entry list as a client keeps it: for its time, nearest zone first."""
+"""The client's cached list of entry nodes, with a preference for its own zone."""
 
 import asyncio
 import random
@@ -10,11 +10,11 @@
 from ..errors import ErrorKind, RequestError
 
 REQUEST_TIMEOUT_S: Final = 2.0
-PAUSE_AFTER_FAILURE_S: Final = 0.5
+REFRESH_RETRY_S: Final = 0.5
 
 
 class Entry(NamedTuple):
-    """One node that callers may use."""
+    """A node that accepts requests of clients."""
 
     node_id: str
     address: str
@@ -25,10 +25,10 @@
 
 
 class EntryList:
-    """Keeps the list and asks for it again when its time is over.
+    """Caches the entry list and fetches it again when its TTL expires.
 
-    The list is asked of the nodes it names and, when none answers, of the
-    bootstrap addresses; while none answers at all, the old list stays in use.
+    The list is fetched from the nodes that it contains and, if none responds, from the
+    bootstrap addresses. If no address responds, the previous list stays in use.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         zone: str,
         rng: random.Random,
     ) -> None:
-        """Start from the ``bootstrap`` addresses, IP:port each."""
+        """Fetch the first list from one of the ``bootstrap`` addresses (IP:port)."""
         self._session = session
         self._bootstrap = bootstrap
         self._zone = zone
@@ -49,47 +49,49 @@
         self._refreshing = asyncio.Lock()
 
     async def choose(self, excluded: Collection[str] = ()) -> Entry:
-        """Return a node to use, of this zone if there is one, not among ``excluded``.
+        """Return a node that is not in ``excluded``, preferably of the client's zone.
 
-        Nodes that failed lately come last.
+        Nodes that failed since the last fetch are used only if no other node is left.
 
-        :raises samphirecleat.errors.RequestError: NO_TARGET when none is left.
+        :raises samphirecleat.errors.RequestError: NO_TARGET if no node is left.
         """
         async with self._refreshing:
             if asyncio.get_running_loop().time() >= self._valid_until_s:
                 await self.refresh()
-        usable = [entry for entry in self._entries if entry.node_id not in excluded]
-        if not usable:
+        remaining = [entry for entry in self._entries if entry.node_id not in excluded]
+        if not remaining:
             raise RequestError(
-                ErrorKind.NO_TARGET, "no node is left to try; it was not run", retry_after_s=1.0
+                ErrorKind.NO_TARGET,
+                "no node is left to try; the request was not run",
+                retry_after_s=1.0,
             )
-        sound = [e for e in usable if (e.node_id, e.incarnation) not in self._failed]
-        near = [entry for entry in sound if entry.zone == self._zone]
-        pool = near or sound or usable
-        return self._rng.choices(pool, [entry.weight for entry in pool])[0]
+        healthy = [e for e in remaining if (e.node_id, e.incarnation) not in self._failed]
+        same_zone = [entry for entry in healthy if entry.zone == self._zone]
+        candidates = same_zone or healthy or remaining
+        return self._rng.choices(candidates, [entry.weight for entry in candidates])[0]
 
     def note_failed(self, entry: Entry) -> None:
-        """Prefer other nodes until the list is fetched again."""
+        """Prefer other nodes to ``entry`` until the list is fetched again."""
         self._failed.add((entry.node_id, entry.incarnation))
 
     def expire(self) -> None:
-        """Fetch the list again before the next choice."""
+        """Make the next :meth:`choose` fetch the list again."""
         self._valid_until_s = 0.0
 
     async def refresh(self) -> None:
-        """Ask for the list now; a failure keeps the old one a little longer."""
+        """Fetch the list now; on failure, keep the old list until the next attempt."""
         addresses = [entry.address for entry in self._entries]
         self._rng.shuffle(addresses)
         bootstrap = [address for address in self._bootstrap if address not in addresses]
         self._rng.shuffle(bootstrap)
         for address in [*addresses, *bootstrap]:
-            if await self._ask(address):
+            if await self._fetch(address):
                 return
-        self._valid_until_s = asyncio.get_running_loop().time() + PAUSE_AFTER_FAILURE_S
+        self._valid_until_s = asyncio.get_running_loop().time() + REFRESH_RETRY_S
 
-    async def _ask(self, address: str) -> bool:
+    async def _fetch(self, address: str) -> bool:
         timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
-        asked_at_s = asyncio.get_running_loop().time()
+        requested_at_s = asyncio.get_running_loop().time()
         try:
             async with self._session.get(
                 f"http://{address}/v1/entries", timeout=timeout
@@ -113,6 +115,6 @@
             return False
         self._entries = entries
         self._failed.clear()
-        # Counted from the question, since the answer may have been long on its way.
-        self._valid_until_s = asked_at_s + ttl_s
+        # The TTL counts from the request, because the response may have been delayed.
+        self._valid_until_s = requested_at_s + ttl_s
         return True
--- a/samphirecleat/client/_node_call.py
+++ b/samphirecleat/client/_node_call.py
@@ -1,4 +1,4 @@
-"""Sends one request to one node and reads its answer, whole or line by line."""
+"""Sends one request to one node and reads its answer, whole or streamed."""
 
 import asyncio
 import json
@@ -21,30 +21,30 @@
 CONNECT_TIMEOUT_S: Final = 1.0
 PROBE_TIMEOUT_S: Final = 1.0
 DEADLINE_SLACK_S: Final = 0.75
-"""The node ends the call at the same deadline; the slack lets its word get through."""
+"""Time to receive the node's own error, as it ends the call at the same deadline."""
 
 
 class NodeRequest(NamedTuple):
-    """A request as its caller made it; ``give_up_at_s`` is on the loop's clock."""
+    """A request of the application; ``deadline_at_s`` is on the event loop's clock."""
 
     path: str
     body: Mapping[str, Any]
     priority: int
     idempotent: bool
-    give_up_at_s: float
+    deadline_at_s: float
 
     @property
     def streamed(self) -> bool:
-        """Whether the answer comes line by line."""
+        """Whether the answer is streamed line by line."""
         return bool(self.body.get("stream", False))
 
 
-class NeverLeftError(Exception):
-    """The connection was never made."""
+class ConnectFailedError(Exception):
+    """The connection to the node could not be established."""
 
 
 class AnswerLostError(Exception):
-    """The request may have arrived, and its answer did not come, or not whole."""
+    """The request may have been received, but its answer was lost or incomplete."""
 
 
 async def call_node(
@@ -54,14 +54,14 @@
     request: NodeRequest,
     progress_timeout_s: float,
 ) -> AsyncGenerator[Mapping[str, Any], None]:
-    """Yield the lines of the answer, or the whole answer as one.
+    """Yield the lines of a streamed answer, or a whole answer as a single item.
 
-    :raises NeverLeftError: no byte left.
-    :raises AnswerLostError: the answer broke off, or its connection went silent.
-    :raises samphirecleat.errors.RequestError: the node's own answer.
+    :raises ConnectFailedError: if nothing was sent.
+    :raises AnswerLostError: if the answer is incomplete or its connection fell silent.
+    :raises samphirecleat.errors.RequestError: if the node responded with an error.
     """
-    left_s = request.give_up_at_s - asyncio.get_running_loop().time()
-    watch = SilenceDetector(
+    remaining_s = request.deadline_at_s - asyncio.get_running_loop().time()
+    silence_detector = SilenceDetector(
         lambda: _probe(address, key),
         period_s=progress_timeout_s,
         counts_progress=request.streamed,
@@ -69,41 +69,41 @@
     sending = session.post(
         f"http://{address}{request.path}",
         json=request.body,
-        headers=_headers(key, request, left_s),
+        headers=_headers(key, request, remaining_s),
         timeout=aiohttp.ClientTimeout(
-            total=left_s + DEADLINE_SLACK_S, sock_connect=CONNECT_TIMEOUT_S
+            total=remaining_s + DEADLINE_SLACK_S, sock_connect=CONNECT_TIMEOUT_S
         ),
     )
     try:
-        async with watch, await watch.wait(sending) as response:
+        async with silence_detector, await silence_detector.wait(sending) as response:
             if response.status != 200 or not request.streamed:
-                yield _read_whole(response.status, await watch.wait(response.read()))
+                yield _read_whole(response.status, await silence_detector.wait(response.read()))
                 return
-            while line := _read_line(await watch.wait(response.content.readline())):
-                watch.record_progress(1)
+            while line := _read_line(await silence_detector.wait(response.content.readline())):
+                silence_detector.record_progress(1)
                 yield line
                 if "end" in line:
                     return
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-        raise NeverLeftError(str(error)) from error
+        raise ConnectFailedError(str(error)) from error
     except (SilentConnectionError, aiohttp.ClientError, OSError, ValueError) as error:
         raise AnswerLostError(str(error)) from error
-    raise AnswerLostError("the answer ended before its last line")
+    raise AnswerLostError("the answer ended before its final line")
 
 
-def _headers(key: str, request: NodeRequest, left_s: float) -> Mapping[str, str]:
+def _headers(key: str, request: NodeRequest, remaining_s: float) -> Mapping[str, str]:
     return {
         "x-request-key": key,
         "x-priority": str(request.priority),
         "x-idempotent": "yes" if request.idempotent else "no",
-        "x-deadline-ms": f"{left_s * 1000:.0f}",
+        "x-deadline-ms": f"{remaining_s * 1000:.0f}",
     }
 
 
 def _read_whole(status: int, raw: bytes) -> Mapping[str, Any]:
     answer = json.loads(raw)
     if not isinstance(answer, dict):
-        raise ValueError("the answer is no JSON object")
+        raise ValueError("the answer is not a JSON object")
     if status != 200:
         raise RequestError.from_body(answer.get("error", {}))
     return answer
@@ -111,7 +111,7 @@
 
 def _read_line(raw: bytes) -> Mapping[str, Any]:
     if not raw.endswith(b"\n"):
-        raise ValueError("the answer broke off")
+        raise ValueError("the answer ended in the middle of a line")
     line: Mapping[str, Any] = json.loads(raw)
     if "error" in line:
         raise RequestError.from_body(line["error"])
@@ -119,7 +119,7 @@
 
 
 async def _probe(address: str, key: str) -> ProbeResult:
-    """Ask the node on a new connection how far the key is."""
+    """Query the progress of ``key`` at the node, over a new connection."""
     timeout = aiohttp.ClientTimeout(total=PROBE_TIMEOUT_S)
     try:
         async with (
@@ -136,45 +136,45 @@
         return StatusUnavailable()
 
 
-class Resumption:
-    """Drops from a replayed answer what was passed on before the connection broke."""
+class ReplayFilter:
+    """Removes from a replayed answer what was yielded before the connection broke."""
 
     def __init__(self) -> None:
-        """Start with nothing passed on."""
-        self._passed_characters = 0
-        self._passed_tokens = 0
+        """Start with nothing yielded."""
+        self._yielded_characters = 0
+        self._yielded_tokens = 0
         self._skip_characters = 0
         self._skip_tokens = 0
 
     @property
     def answer_started(self) -> bool:
-        """Whether any part was passed on."""
-        return self._passed_tokens > 0
+        """Whether any part of the answer was yielded."""
+        return self._yielded_tokens > 0
 
     def begin_replay(self) -> None:
-        """Expect the answer from its start again."""
-        self._skip_characters = self._passed_characters
-        self._skip_tokens = self._passed_tokens
+        """Prepare for the answer to be replayed from its start."""
+        self._skip_characters = self._yielded_characters
+        self._skip_tokens = self._yielded_tokens
 
-    def take(self, line: Mapping[str, Any]) -> Mapping[str, Any] | None:
-        """Return what of a line is new, None when nothing of it is."""
+    def filter_line(self, line: Mapping[str, Any]) -> Mapping[str, Any] | None:
+        """Return the new part of a line, or None if all of it was yielded before."""
         if "text" not in line:
             return line
         text = str(line["text"])
         new_text = text[self._skip_characters :]
-        new_spans = self._cut_spans(line.get("spans", ()))
+        new_spans = self._remove_yielded_spans(line.get("spans", ()))
         self._skip_characters = max(0, self._skip_characters - len(text))
-        self._passed_characters += len(new_text)
-        self._passed_tokens += sum(tokens for _version, tokens in new_spans)
+        self._yielded_characters += len(new_text)
+        self._yielded_tokens += sum(tokens for _version, tokens in new_spans)
         if not new_text and not new_spans and "end" not in line:
             return None
         return {**line, "text": new_text, "spans": new_spans}
 
-    def _cut_spans(self, spans: Any) -> list[list[int]]:
-        new: list[list[int]] = []
+    def _remove_yielded_spans(self, spans: Any) -> list[list[int]]:
+        remaining_spans: list[list[int]] = []
         for version, tokens in spans:
             skipped = min(self._skip_tokens, int(tokens))
             self._skip_tokens -= skipped
             if tokens > skipped:
-                new.append([int(version), int(tokens) - skipped])
-        return new
+                remaining_spans.append([int(version), int(tokens) - skipped])
+        return remaining_spans
--- a/samphirecleat/client/_resend.py
+++ b/samphirecleat/client/_resend.py
@@ -1,8 +1,8 @@
-"""Decides what a caller's client does after a send that brought no answer.
+"""Decides how the callers' client retries a request after a failed send.
 
-A key binds a request to one process, so asking again with the same key is always
-safe, through any node. A new key may start a second run: it is made only when the
-first provably did not run, or when the request is idempotent.
+A key binds a request to one process, so a retry with the same key is always safe,
+through any node. A new key may start a second run, so it is used only if the first
+request provably did not run or if the request is idempotent.
 """
 
 from dataclasses import dataclass
@@ -12,46 +12,46 @@
 
 
 @dataclass(frozen=True)
-class NeverLeft:
-    """The connection was never made, so no byte of this send left the client."""
+class ConnectFailed:
+    """The connection could not be established, so nothing was sent."""
 
 
 @dataclass(frozen=True)
 class AnswerLost:
-    """The request may have arrived, and no answer came."""
+    """The request may have been received, but no response arrived."""
 
 
 @dataclass(frozen=True)
-class Answered:
-    """A node answered with an error; ``by_owner`` when the key names that node."""
+class ErrorAnswer:
+    """A node responded with an error; ``by_owner`` tells whether that node owns the key."""
 
     error: RequestError
     by_owner: bool
 
 
-SendOutcome = NeverLeft | AnswerLost | Answered
+SendFailure = ConnectFailed | AnswerLost | ErrorAnswer
 
 
 @dataclass(frozen=True)
-class AskElsewhere:
-    """Send the same key again, through another node."""
+class RetrySameKey:
+    """Retry with the same key through another node."""
 
 
 @dataclass(frozen=True)
-class NewKey:
-    """Send the request with a new key, to another node."""
+class RetryNewKey:
+    """Retry with a new key at another node."""
 
 
 @dataclass(frozen=True)
-class Stop:
-    """Tell the code that calls."""
+class Fail:
+    """Do not retry; raise ``error`` to the application."""
 
     error: RequestError
 
 
-Resend = AskElsewhere | NewKey | Stop
+RetryDecision = RetrySameKey | RetryNewKey | Fail
 
-PASSED_ON_KINDS: Final = frozenset(
+NODE_LOCAL_KINDS: Final = frozenset(
     {
         ErrorKind.OUTCOME_UNKNOWN,
         ErrorKind.NOT_READY,
@@ -61,55 +61,56 @@
         ErrorKind.KEY_OWNER_GONE,
     }
 )
-"""Kinds by which a node that does not own the key may speak for itself alone."""
+"""Kinds that, from a node that does not own the key, may hold for that node only."""
 
-ONLY_COPY_ENDED_KINDS: Final = frozenset({ErrorKind.KEY_EXPIRED, ErrorKind.KEY_OWNER_GONE})
-"""Kinds by which a node says that the copy it was sent will start nowhere."""
+SEND_VOID_KINDS: Final = frozenset({ErrorKind.KEY_EXPIRED, ErrorKind.KEY_OWNER_GONE})
+"""Kinds that tell that the send which the node received will not start a run anywhere."""
 
 
-def decide_resend(
-    outcome: SendOutcome, *, sent_before: bool, idempotent: bool, answer_started: bool
-) -> Resend:
-    """Decide what follows one send of a key.
+def decide_retry(
+    failure: SendFailure, *, sent_before: bool, idempotent: bool, answer_started: bool
+) -> RetryDecision:
+    """Return how to continue after one failed send of a key.
 
-    ``sent_before`` tells whether an earlier send of the same key may have
-    arrived; ``answer_started`` whether a part of the answer was passed on, which
-    a new run would contradict.
+    ``sent_before`` tells whether an earlier send of the same key may have been
+    received. ``answer_started`` tells whether a part of the answer was already yielded
+    to the application, which the answer of a new run would contradict.
     """
     may_run_again = idempotent and not answer_started
-    match outcome:
-        case NeverLeft():
-            return AskElsewhere() if sent_before else NewKey()
+    match failure:
+        case ConnectFailed():
+            return RetrySameKey() if sent_before else RetryNewKey()
         case AnswerLost():
-            return AskElsewhere()
-        case Answered(error=error, by_owner=by_owner):
+            return RetrySameKey()
+        case ErrorAnswer(error=error, by_owner=by_owner):
             return _after_error(error, by_owner, sent_before, may_run_again)
 
 
-def decide_without_nodes(*, idempotent: bool, answer_started: bool) -> Resend:
-    """Decide what follows when no node is left to ask for a key that was sent."""
+def decide_without_nodes(*, idempotent: bool, answer_started: bool) -> RetryDecision:
+    """Return how to continue when no node is left through which to retry a sent key."""
     if idempotent and not answer_started:
-        return NewKey()
-    return Stop(
-        RequestError(ErrorKind.OUTCOME_UNKNOWN, "every node that could answer for it is gone")
+        return RetryNewKey()
+    return Fail(
+        RequestError(ErrorKind.OUTCOME_UNKNOWN, "no node is left that can report the outcome")
     )
 
 
 def _after_error(
     error: RequestError, by_owner: bool, sent_before: bool, may_run_again: bool
-) -> Resend:
+) -> RetryDecision:
     if error.ran is Ran.NO:
-        elsewhere = ANSWERS[error.kind].retry_at is RetryAt.ANY_NODE
-        return NewKey() if elsewhere else Stop(error)
-    if error.kind in ONLY_COPY_ENDED_KINDS and not sent_before:
-        # The only copy of the key was refused: its process was replaced at its old
-        # address, or the key had expired. It can start nowhere any more.
-        return NewKey()
-    # A process that replaced the owner at its address speaks for itself too.
-    replaced = error.kind is not ErrorKind.OUTCOME_UNKNOWN
-    if error.kind in PASSED_ON_KINDS and (replaced or not by_owner):
-        return AskElsewhere()
+        retry_at_any_node = ANSWERS[error.kind].retry_at is RetryAt.ANY_NODE
+        return RetryNewKey() if retry_at_any_node else Fail(error)
+    if error.kind in SEND_VOID_KINDS and not sent_before:
+        # The only send of the key was refused, because the owner's process was replaced
+        # at its address or the key had expired. It can no longer start anywhere.
+        return RetryNewKey()
+    # The owner's address may now belong to a process that replaced the owner; its error
+    # then says nothing about the request.
+    may_be_replaced = error.kind is not ErrorKind.OUTCOME_UNKNOWN
+    if error.kind in NODE_LOCAL_KINDS and (may_be_replaced or not by_owner):
+        return RetrySameKey()
     if error.kind in (ErrorKind.KEY_EXPIRED, ErrorKind.ANSWER_DISCARDED) and may_run_again:
-        return NewKey()
-    # The node has already retried what its targets failed at.
-    return Stop(error)
+        return RetryNewKey()
+    # The node has already retried failures of its targets.
+    return Fail(error)
--- a/samphirecleat/client/_trainer.py
+++ b/samphirecleat/client/_trainer.py
@@ -1,4 +1,4 @@
-"""The trainers' client: the record of what the trainer holds of a step."""
+"""The client for trainers, which tracks the samples of a step that it received."""
 
 import asyncio
 import random
@@ -15,9 +15,9 @@
 PULL_WAIT_S: Final = 2.0
 PULL_TIMEOUT_S: Final = 3.0
 PULL_LIMIT: Final = 512
-FIRST_BACKOFF_S: Final = 0.1
-LONGEST_BACKOFF_S: Final = 2.0
-_FINAL_KINDS: Final = (
+INITIAL_BACKOFF_S: Final = 0.1
+MAX_BACKOFF_S: Final = 2.0
+_NON_RETRYABLE_KINDS: Final = (
     ErrorKind.STEP_CONFLICT,
     ErrorKind.MALFORMED,
     ErrorKind.BODY_TOO_LARGE,
@@ -26,10 +26,10 @@
 
 
 class StepRequest(NamedTuple):
-    """A step as the trainer's code asks for it.
+    """A step to be generated for a trainer.
 
-    ``group_max_tokens`` and ``group_length_hints`` hold one number a group, or
-    nothing. A hint is the expected length in tokens: the longest start first.
+    ``group_max_tokens`` and ``group_length_hints`` hold one number per group, or are
+    empty. A hint is the expected length in tokens; the longest groups start first.
     """
 
     step_id: str
@@ -44,23 +44,23 @@
 
     @property
     def size(self) -> int:
-        """How many samples the step has."""
+        """The number of samples of the step."""
         return len(self.prompts) * self.samples_per_group
 
 
 class Group(NamedTuple):
-    """All samples of one prompt, by their index."""
+    """All samples of the prompt with the index ``number``, in order of position."""
 
     number: int
     samples: Sequence[Sample]
 
 
 class TrainerClient:
-    """Runs steps for one trainer and hands on each sample exactly once.
+    """Runs steps for one trainer and yields each sample exactly once.
 
-    What the trainer holds is kept here and named in every pull, so that neither
-    a lost answer nor the loss of the node that works on the step can double or
-    lose a sample: the step is submitted to another node with what is held.
+    The client tracks the positions that it received and sends them with every pull. If
+    an answer or the node that runs the step is lost, the step is submitted to another
+    node together with these positions, so no sample is duplicated or lost.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         zone: str = "",
         seed: int | None = None,
     ) -> None:
-        """Ask ``current_version`` at each pull which weights the trainer is at."""
+        """Call ``current_version`` at each pull for the trainer's weight version."""
         self._session = session
         self._trainer = trainer
         self._current_version = current_version
@@ -82,12 +82,12 @@
     async def run_step(
         self, request: StepRequest, held: Collection[int] = ()
     ) -> AsyncIterator[Sample]:
-        """Yield every sample of a step once, as they become ready.
+        """Yield every sample of a step once, as the samples become ready.
 
-        ``held`` names the positions that the trainer has from before, as after
-        its own restart; they are not made again.
+        ``held`` lists the positions that the trainer already has, for example after a
+        restart; they are not generated again.
 
-        :raises samphirecleat.errors.RequestError: when the step itself is wrong.
+        :raises samphirecleat.errors.RequestError: if the step is invalid.
         """
         record = DeliveryRecord(
             secrets.token_hex(6), request.size, request.staleness_bound, frozenset(held)
@@ -104,13 +104,13 @@
                 failed.append(node.node_id)
                 node = None
         if node is not None:
-            # Tells the node that the step is whole, so that it forgets it soon.
+            # Tells the node that the step is complete, so that it can discard it early.
             await self._pull(node, request, record, wait_s=0.0)
 
     async def run_groups(self, request: StepRequest) -> AsyncIterator[Group]:
-        """Yield each group of a step once, as soon as all of its samples are there.
+        """Yield each group of a step once, as soon as all of its samples are received.
 
-        :raises samphirecleat.errors.RequestError: when the step itself is wrong.
+        :raises samphirecleat.errors.RequestError: if the step is invalid.
         """
         partial: dict[int, list[Sample]] = {}
         async for sample in self.run_step(request):
@@ -124,26 +124,26 @@
     async def _submit(
         self, request: StepRequest, record: DeliveryRecord, failed: list[str]
     ) -> Entry:
-        """Return the node that took the step, trying until one does.
+        """Submit the step to nodes until one accepts it, and return that node.
 
-        Nodes that failed before are tried again once no other is left; the wait
-        between rounds grows, so that trainers do not crowd a fleet that recovers.
+        Nodes that failed are tried again once no other node is left. The delay between
+        rounds grows exponentially, so trainers do not overload a recovering fleet.
         """
-        backoff_s = FIRST_BACKOFF_S
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             try:
                 entry = await self._entries.choose(failed)
             except RequestError as error:
                 await asyncio.sleep(max(backoff_s, error.retry_after_s * 0.1) * self._jitter())
-                backoff_s = min(LONGEST_BACKOFF_S, backoff_s * 2.0)
+                backoff_s = min(MAX_BACKOFF_S, backoff_s * 2.0)
                 failed.clear()
                 await self._entries.refresh()
                 continue
-            body = _submission(request, record, self._current_version())
+            body = _step_body(request, record, self._current_version())
             try:
                 await self._post(entry, request.step_id, "", body, PULL_TIMEOUT_S)
             except RequestError as error:
-                if error.kind in _FINAL_KINDS:
+                if error.kind in _NON_RETRYABLE_KINDS:
                     raise
                 failed.append(entry.node_id)
             except (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError):
@@ -158,7 +158,7 @@
         record: DeliveryRecord,
         wait_s: float = PULL_WAIT_S,
     ) -> PullReply | None:
-        """Return the reply to one pull, or None when the node can not be asked."""
+        """Return the reply to one pull, or None if the pull failed."""
         pull = record.next_pull(self._current_version(), wait_s, PULL_LIMIT)
         body = {
             "pull": pull.number,
@@ -191,7 +191,7 @@
         return 0.5 + self._rng.random()
 
 
-def _submission(request: StepRequest, record: DeliveryRecord, version: int) -> Mapping[str, Any]:
+def _step_body(request: StepRequest, record: DeliveryRecord, version: int) -> Mapping[str, Any]:
     return {
         "service": request.service,
         "prompts": list(request.prompts),
--- a/tests/client/test_resend.py
+++ b/tests/client/test_resend.py
@@ -1,75 +1,97 @@
-"""What a caller's client does after a send that brought no answer."""
+"""Tests of how the callers' client retries after a failed send."""
 
 import pytest
 
 from samphirecleat.client._resend import (
-    Answered,
     AnswerLost,
-    AskElsewhere,
-    NeverLeft,
-    NewKey,
-    SendOutcome,
-    Stop,
-    decide_resend,
+    ConnectFailed,
+    ErrorAnswer,
+    Fail,
+    RetryNewKey,
+    RetrySameKey,
+    SendFailure,
+    decide_retry,
 )
 from samphirecleat.errors import ErrorKind, Ran, RequestError
 
 
-def answered(kind: ErrorKind, ran: Ran | None = None, *, by_owner: bool = True) -> Answered:
-    return Answered(RequestError(kind, "", ran=ran), by_owner)
+def error_answer(kind: ErrorKind, ran: Ran | None = None, *, by_owner: bool = True) -> ErrorAnswer:
+    return ErrorAnswer(RequestError(kind, "", ran=ran), by_owner)
 
 
 @pytest.mark.parametrize(
-    ("outcome", "sent_before", "once", "idempotent", "started"),
+    ("failure", "sent_before", "non_idempotent", "idempotent", "started"),
     [
-        (NeverLeft(), False, NewKey, NewKey, NewKey),
-        (NeverLeft(), True, AskElsewhere, AskElsewhere, AskElsewhere),
-        (AnswerLost(), False, AskElsewhere, AskElsewhere, AskElsewhere),
-        (answered(ErrorKind.NOT_READY), False, NewKey, NewKey, NewKey),
-        (answered(ErrorKind.LEAVING), False, NewKey, NewKey, NewKey),
-        (answered(ErrorKind.OVERLOADED), False, Stop, Stop, Stop),
-        (answered(ErrorKind.MALFORMED), False, Stop, Stop, Stop),
-        (answered(ErrorKind.TARGET_FAILED), False, Stop, Stop, Stop),
-        (answered(ErrorKind.OUTCOME_UNKNOWN), False, Stop, Stop, Stop),
-        (answered(ErrorKind.DEADLINE_EXCEEDED), False, Stop, Stop, Stop),
-        (answered(ErrorKind.KEY_EXPIRED), False, NewKey, NewKey, NewKey),
-        (answered(ErrorKind.KEY_EXPIRED), True, Stop, NewKey, Stop),
-        (answered(ErrorKind.ANSWER_DISCARDED), True, Stop, NewKey, Stop),
-        (answered(ErrorKind.KEY_OWNER_GONE), False, NewKey, NewKey, NewKey),
-        (answered(ErrorKind.KEY_OWNER_GONE), True, AskElsewhere, AskElsewhere, AskElsewhere),
+        (ConnectFailed(), False, RetryNewKey, RetryNewKey, RetryNewKey),
+        (ConnectFailed(), True, RetrySameKey, RetrySameKey, RetrySameKey),
+        (AnswerLost(), False, RetrySameKey, RetrySameKey, RetrySameKey),
         (
-            answered(ErrorKind.NOT_READY, Ran.UNKNOWN),
+            error_answer(ErrorKind.NOT_READY),
             False,
-            AskElsewhere,
-            AskElsewhere,
-            AskElsewhere,
+            RetryNewKey,
+            RetryNewKey,
+            RetryNewKey,
         ),
+        (error_answer(ErrorKind.LEAVING), False, RetryNewKey, RetryNewKey, RetryNewKey),
+        (error_answer(ErrorKind.OVERLOADED), False, Fail, Fail, Fail),
+        (error_answer(ErrorKind.MALFORMED), False, Fail, Fail, Fail),
+        (error_answer(ErrorKind.TARGET_FAILED), False, Fail, Fail, Fail),
+        (error_answer(ErrorKind.OUTCOME_UNKNOWN), False, Fail, Fail, Fail),
+        (error_answer(ErrorKind.DEADLINE_EXCEEDED), False, Fail, Fail, Fail),
         (
-            answered(ErrorKind.NOT_READY, Ran.UNKNOWN, by_owner=False),
+            error_answer(ErrorKind.KEY_EXPIRED),
+            False,
+            RetryNewKey,
+            RetryNewKey,
+            RetryNewKey,
+        ),
+        (error_answer(ErrorKind.KEY_EXPIRED), True, Fail, RetryNewKey, Fail),
+        (error_answer(ErrorKind.ANSWER_DISCARDED), True, Fail, RetryNewKey, Fail),
+        (
+            error_answer(ErrorKind.KEY_OWNER_GONE),
+            False,
+            RetryNewKey,
+            RetryNewKey,
+            RetryNewKey,
+        ),
+        (error_answer(ErrorKind.KEY_OWNER_GONE), True, RetrySameKey, RetrySameKey, RetrySameKey),
+        (
+            error_answer(ErrorKind.NOT_READY, Ran.UNKNOWN),
+            False,
+            RetrySameKey,
+            RetrySameKey,
+            RetrySameKey,
+        ),
+        (
+            error_answer(ErrorKind.NOT_READY, Ran.UNKNOWN, by_owner=False),
             True,
-            AskElsewhere,
-            AskElsewhere,
-            AskElsewhere,
+            RetrySameKey,
+            RetrySameKey,
+            RetrySameKey,
         ),
         (
-            answered(ErrorKind.OUTCOME_UNKNOWN, by_owner=False),
+            error_answer(ErrorKind.OUTCOME_UNKNOWN, by_owner=False),
             True,
-            AskElsewhere,
-            AskElsewhere,
-            AskElsewhere,
+            RetrySameKey,
+            RetrySameKey,
+            RetrySameKey,
         ),
-        (answered(ErrorKind.TARGET_FAILED, by_owner=False), True, Stop, Stop, Stop),
+        (error_answer(ErrorKind.TARGET_FAILED, by_owner=False), True, Fail, Fail, Fail),
     ],
 )
-def test_what_follows_a_send(
-    outcome: SendOutcome, sent_before: bool, once: type, idempotent: type, started: type
+def test_retry_decision_after_a_failed_send(
+    failure: SendFailure,
+    sent_before: bool,
+    non_idempotent: type,
+    idempotent: type,
+    started: type,
 ) -> None:
-    cases = ((False, False, once), (True, False, idempotent), (True, True, started))
-    for may_repeat, answer_started, expected in cases:
-        resend = decide_resend(
-            outcome,
+    cases = ((False, False, non_idempotent), (True, False, idempotent), (True, True, started))
+    for is_idempotent, answer_started, expected in cases:
+        decision = decide_retry(
+            failure,
             sent_before=sent_before,
-            idempotent=may_repeat,
+            idempotent=is_idempotent,
             answer_started=answer_started,
         )
-        assert isinstance(resend, expected), (may_repeat, answer_started)
+        assert isinstance(decision, expected), (is_idempotent, answer_started)
--- a/tests/client/test_trainer.py
+++ b/tests/client/test_trainer.py
@@ -1,4 +1,4 @@
-"""The trainers' client against real nodes: owners that die, answers lost or doubled."""
+"""Tests of the trainers' client with crashing nodes, lost answers and duplicates."""
 
 import asyncio
 import random
@@ -23,19 +23,19 @@
 
 
 class FaultyClient(TrainerClient):
-    """Loses answers after they took effect, and sends messages twice, by a seeded draw."""
+    """Randomly drops answers of processed requests and sends requests twice."""
 
-    def __init__(self, *arguments: Any, lost: float, doubled: float, seed: int) -> None:
+    def __init__(self, *arguments: Any, lost: float, duplicated: float, seed: int) -> None:
         super().__init__(*arguments, seed=seed)
         self._lost = lost
-        self._doubled = doubled
+        self._duplicated = duplicated
         self._faults = random.Random(seed)
         self.counts: Counter[str] = Counter()
 
     async def _post(self, *arguments: Any) -> Mapping[str, Any]:
         answer = await super()._post(*arguments)
-        if self._faults.random() < self._doubled:
-            self.counts["doubled"] += 1
+        if self._faults.random() < self._duplicated:
+            self.counts["duplicated"] += 1
             await super()._post(*arguments)
         if self._faults.random() < self._lost:
             self.counts["lost"] += 1
@@ -43,7 +43,7 @@
         return answer
 
 
-def with_fleet(body: Callable[[Fleet, aiohttp.ClientSession], Awaitable[None]]) -> None:
+def run_with_fleet(body: Callable[[Fleet, aiohttp.ClientSession], Awaitable[None]]) -> None:
     async def run() -> None:
         fleet = Fleet(DEPLOYMENTS["los-aromos"], 3, seed=1)
         await fleet.start()
@@ -68,8 +68,8 @@
         await asyncio.sleep(0.02)
 
 
-def check_against_ledgers(fleet: Fleet, samples: list[Sample]) -> None:
-    """Every position once, each a run that an engine truly ended with these versions."""
+def check_against_engine_runs(fleet: Fleet, samples: list[Sample]) -> None:
+    """Check that each position occurs once and matches a finished run of an engine."""
     assert sorted(sample.position for sample in samples) == list(range(SIZE))
     runs = {run.run_id: run for engine in fleet.engines for run in engine.runs}
     for sample in samples:
@@ -84,9 +84,9 @@
 
 @pytest.mark.parametrize("after", [0, 1, SIZE // 2, SIZE - 1])
 def test_the_owner_of_a_step_is_killed_and_nothing_is_missing_or_doubled(after: int) -> None:
-    """The node that works on a step dies with the step at any stage.
+    """The node that runs a step is killed at various stages of the step.
 
-    The trainer would wait for ever, or get the samples that it has a second time.
+    A faulty recovery would hang the trainer or deliver samples a second time.
     """
 
     async def body(fleet: Fleet, session: aiohttp.ClientSession) -> None:
@@ -98,9 +98,9 @@
             if len(samples) == after:
                 await killed
         await killed
-        check_against_ledgers(fleet, samples)
+        check_against_engine_runs(fleet, samples)
 
-    with_fleet(body)
+    run_with_fleet(body)
 
 
 async def kill_owner(fleet: Fleet, samples: list[Sample], after: int) -> None:
@@ -112,25 +112,25 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_answers_lost_and_messages_doubled_change_nothing(seed: int) -> None:
-    """Answers get lost after they took effect, so that the step moves between nodes.
+    """Answers are lost after their requests were processed, so the step changes nodes.
 
-    Two owners work on it at once; a user must still get every sample once.
+    Two nodes then run the step at once; the trainer must still get every sample once.
     """
 
     async def body(fleet: Fleet, session: aiohttp.ClientSession) -> None:
         client = FaultyClient(
-            session, "trainer-1", fleet.bootstrap, lambda: 0, lost=0.4, doubled=0.4, seed=seed
+            session, "trainer-1", fleet.bootstrap, lambda: 0, lost=0.4, duplicated=0.4, seed=seed
         )
         samples = [sample async for sample in client.run_step(REQUEST)]
         assert client.counts["lost"] > 0
-        assert client.counts["doubled"] > 0
-        check_against_ledgers(fleet, samples)
+        assert client.counts["duplicated"] > 0
+        check_against_engine_runs(fleet, samples)
 
-    with_fleet(body)
+    run_with_fleet(body)
 
 
 def test_a_trainer_that_starts_again_gets_the_rest_only() -> None:
-    """The trainer's process dies in the middle of a step and kept what it had."""
+    """The trainer restarts in the middle of a step and has kept its samples."""
 
     async def body(fleet: Fleet, session: aiohttp.ClientSession) -> None:
         first = TrainerClient(session, "trainer-1", fleet.bootstrap, lambda: 0, seed=1)
@@ -142,13 +142,13 @@
         again = TrainerClient(session, "trainer-1", fleet.bootstrap, lambda: 0, seed=2)
         held = {sample.position for sample in samples}
         samples += [sample async for sample in again.run_step(REQUEST, held)]
-        check_against_ledgers(fleet, samples)
+        check_against_engine_runs(fleet, samples)
 
-    with_fleet(body)
+    run_with_fleet(body)
 
 
 def test_a_node_that_drains_hands_its_step_over() -> None:
-    """An operator drains the node that works on a step."""
+    """An operator drains the node that runs a step."""
 
     async def body(fleet: Fleet, session: aiohttp.ClientSession) -> None:
         client = TrainerClient(session, "trainer-1", fleet.bootstrap, lambda: 0, seed=1)
@@ -160,12 +160,12 @@
                 drained = asyncio.ensure_future(owner_of(fleet).drain())
         assert drained is not None
         await drained
-        check_against_ledgers(fleet, samples)
+        check_against_engine_runs(fleet, samples)
 
-    with_fleet(body)
+    run_with_fleet(body)
 
 
-def test_groups_come_whole_and_once() -> None:
+def test_groups_are_yielded_complete_and_once() -> None:
     async def body(fleet: Fleet, session: aiohttp.ClientSession) -> None:
         client = TrainerClient(session, "trainer-1", fleet.bootstrap, lambda: 0, seed=1)
         groups = [group async for group in client.run_groups(REQUEST)]
@@ -175,7 +175,7 @@
             positions = [sample.position for sample in group.samples]
             assert positions == list(range(first, first + PER_GROUP))
 
-    with_fleet(body)
+    run_with_fleet(body)
 
 
 @pytest.mark.parametrize(
@@ -189,7 +189,7 @@
         ({"staleness_bound": -1}, ErrorKind.MALFORMED),
     ],
 )
-def test_a_step_that_is_wrong_is_refused_and_not_tried_for_ever(
+def test_invalid_step_is_rejected_without_retries(
     shared_fleet: Any, changes: dict[str, Any], kind: ErrorKind
 ) -> None:
     fleet, loop, session = shared_fleet
@@ -216,13 +216,13 @@
         ("/pull", []),
     ],
 )
-def test_malformed_messages_of_trainers_are_named_so(
+def test_malformed_trainer_messages_get_kind_malformed(
     shared_fleet: Any, path: str, body: Any
 ) -> None:
-    """A trainer's own code talks to the interface and gets it wrong."""
+    """A trainer that uses the HTTP API directly sends malformed bodies."""
     fleet, loop, session = shared_fleet
     url = f"http://{fleet.bootstrap[0]}/v1/trainers/t/steps/s"
-    right = {
+    valid = {
         "service": "asesor",
         "prompts": ["p"],
         "samples_per_group": 1,
@@ -231,9 +231,9 @@
     }
 
     async def run() -> None:
-        async with session.post(url, json=right) as taken:
+        async with session.post(url, json=valid) as taken:
             assert taken.status == 200
-        sent = {**right, **body} if path == "" else body
+        sent = {**valid, **body} if path == "" else body
         async with session.post(url + path, json=sent) as response:
             answer = await response.json()
         assert (response.status, answer["error"]["kind"]) == (400, "malformed")
