--- a/samphirecleat/_jsonc.py
+++ b/samphirecleat/_jsonc.py
@@ -11,7 +11,7 @@
 import jsoncfg
 
 
-class Fault(NamedTuple):
+class Diagnostic(NamedTuple):
     """One thing that is wrong in a document, and what would be right."""
 
     line: int
@@ -26,11 +26,11 @@
 class DocumentError(Exception):
     """A document that cannot be taken; carries all of its faults."""
 
-    def __init__(self, source: str, faults: Sequence[Fault]) -> None:
+    def __init__(self, source: str, diagnostics: Sequence[Diagnostic]) -> None:
         """Name the document and keep its faults in the order of their lines."""
         self.source = source
-        self.faults = sorted(faults)
-        super().__init__("\n".join(f"{source}: {fault}" for fault in self.faults))
+        self.diagnostics = sorted(diagnostics)
+        super().__init__("\n".join(f"{source}: {diagnostic}" for diagnostic in self.diagnostics))
 
 
 class _Required:
@@ -56,11 +56,11 @@
     list ``faults`` is shared by the readers of one document.
     """
 
-    def __init__(self, node: Any, path: str, faults: list[Fault]) -> None:
+    def __init__(self, node: Any, path: str, diagnostics: list[Diagnostic]) -> None:
         """Read the object ``node``, which stands at ``path``."""
         self._node = node
         self._path = path
-        self._faults = faults
+        self._diagnostics = diagnostics
         self._taken: set[str] = set()
         self._children: dict[str, Any] = {}
         if jsoncfg.node_is_object(node):
@@ -68,18 +68,18 @@
             # takes for a key of the document.
             self._children = {key: child for key, child in node}  # noqa: C416
         else:
-            self.add_fault("an object {...} is expected here")
+            self.add_error("an object {...} is expected here")
 
     @property
     def line(self) -> int:
         """The line on which this object starts."""
         return int(jsoncfg.node_location(self._node).line)
 
-    def add_fault(self, message: str, key: str = "") -> None:
+    def add_error(self, message: str, key: str = "") -> None:
         """Note that ``key`` of this object (or the object itself) is wrong."""
         node = self._children.get(key, self._node)
         line = int(jsoncfg.node_location(node).line)
-        self._faults.append(Fault(line, self._key_path(key) or DOCUMENT, message))
+        self._diagnostics.append(Diagnostic(line, self._key_path(key) or DOCUMENT, message))
 
     def keys(self) -> Sequence[str]:
         """Return the keys of this object in the order in which they stand."""
@@ -99,7 +99,7 @@
             self._wrong(key, value, f"a number from {at_least:g} to {at_most:g} is expected")
             return at_least
         if not at_least <= value <= at_most:
-            self.add_fault(f"{_short(value)} is outside {at_least:g} to {at_most:g}", key)
+            self.add_error(f"{_short(value)} is outside {at_least:g} to {at_most:g}", key)
             return at_least
         return float(value)
 
@@ -117,7 +117,7 @@
             self._wrong(key, value, f"a whole number from {at_least} to {at_most} is expected")
             return at_least
         if not at_least <= value <= at_most:
-            self.add_fault(f"{_short(value)} is outside {at_least} to {at_most}", key)
+            self.add_error(f"{_short(value)} is outside {at_least} to {at_most}", key)
             return at_least
         return value
 
@@ -142,7 +142,7 @@
             self._wrong(key, value, "a text is expected")
             return next(iter(one_of), "")
         if one_of and value not in one_of:
-            self.add_fault(f'"{value}" is not one of {", ".join(sorted(one_of))}', key)
+            self.add_error(f'"{value}" is not one of {", ".join(sorted(one_of))}', key)
             return next(iter(one_of))
         return value
 
@@ -161,7 +161,7 @@
         self._taken.add(key)
         if key not in self._children:
             return None
-        return DocumentReader(self._children[key], self._key_path(key), self._faults)
+        return DocumentReader(self._children[key], self._key_path(key), self._diagnostics)
 
     def take_objects(self, key: str) -> Mapping[str, "DocumentReader"]:
         """Take an object of objects, keyed by names that the writer chose."""
@@ -169,7 +169,7 @@
         if inner is None:
             return {}
         return {
-            name: DocumentReader(node, f"{inner._path}.{name}", self._faults)
+            name: DocumentReader(node, f"{inner._path}.{name}", self._diagnostics)
             for name, node in inner._children.items()
         }
 
@@ -178,7 +178,7 @@
         for key in self._children:
             if key not in self._taken:
                 allowed = ", ".join(sorted(self._taken))
-                self.add_fault(f"unknown key; known here: {allowed}", key)
+                self.add_error(f"unknown key; known here: {allowed}", key)
 
     def _take(self, key: str, default: Any) -> Any:
         self._taken.add(key)
@@ -189,9 +189,9 @@
 
     def _wrong(self, key: str, value: Any, expected: str) -> None:
         if value is REQUIRED:
-            self.add_fault(f'"{key}" is missing; {expected}')
+            self.add_error(f'"{key}" is missing; {expected}')
         else:
-            self.add_fault(expected, key)
+            self.add_error(expected, key)
 
     def _key_path(self, key: str) -> str:
         return f"{self._path}.{key}".strip(".")
@@ -207,11 +207,11 @@
     try:
         root = jsoncfg.loads_config(text)
     except jsoncfg.JSONConfigParserException as error:
-        raise DocumentError(source, [Fault(error.line, DOCUMENT, str(error))]) from error
-    faults: list[Fault] = []
-    value = build(DocumentReader(root, "", faults))
-    if faults:
-        raise DocumentError(source, faults)
+        raise DocumentError(source, [Diagnostic(error.line, DOCUMENT, str(error))]) from error
+    diagnostics: list[Diagnostic] = []
+    value = build(DocumentReader(root, "", diagnostics))
+    if diagnostics:
+        raise DocumentError(source, diagnostics)
     return value
 
 
@@ -224,7 +224,7 @@
     """
     if len(text) > MAX_CHARACTERS:
         message = f"more than {MAX_CHARACTERS} characters"
-        raise DocumentError(source, [Fault(1, DOCUMENT, message)])
+        raise DocumentError(source, [Diagnostic(1, DOCUMENT, message)])
     depth = 0
     for number, line in enumerate(text.split("\n"), start=1):
         for character in line:
@@ -234,7 +234,7 @@
                 depth -= 1
             if depth > MAX_NESTING:
                 message = f"nested more than {MAX_NESTING} deep"
-                raise DocumentError(source, [Fault(number, DOCUMENT, message)])
+                raise DocumentError(source, [Diagnostic(number, DOCUMENT, message)])
 
 
 def _short(value: float) -> str:
--- a/samphirecleat/config/__init__.py
+++ b/samphirecleat/config/__init__.py
@@ -1,6 +1,6 @@
 """The service text: types, validation, and the fold of the configuration stream."""
 
-from .._jsonc import DocumentError, Fault
+from .._jsonc import Diagnostic, DocumentError
 from ._check import read_service_text
 from ._fold import (
     ConfigState,
@@ -35,7 +35,7 @@
     "NO_REVISION",
     "ConfigState",
     "DocumentError",
-    "Fault",
+    "Diagnostic",
     "LogRecord",
     "Method",
     "PublicationOutcome",
--- a/samphirecleat/config/_check.py
+++ b/samphirecleat/config/_check.py
@@ -32,7 +32,7 @@
         name: _read_service(name, entry_reader) for name, entry_reader in service_readers.items()
     }
     if not services:
-        reader.add_fault("at least one service is required", "services")
+        reader.add_error("at least one service is required", "services")
     trainer_readers = reader.take_objects("trainers")
     trainers = {
         name: _read_trainer(name, entry_reader) for name, entry_reader in trainer_readers.items()
@@ -45,7 +45,7 @@
 
 def _read_service(name: str, reader: DocumentReader) -> Service:
     if not NAME_PATTERN.fullmatch(name):
-        reader.add_fault(
+        reader.add_error(
             "a service name may contain only letters, digits, _ and -, at most 40 characters"
         )
     kind = ServiceKind(reader.take_string("kind", one_of=[kind.value for kind in ServiceKind]))
@@ -73,7 +73,7 @@
     targets = []
     for address, entry_reader in reader.take_objects("targets").items():
         if not ADDRESS_PATTERN.match(address):
-            entry_reader.add_fault(f'"{address}" is not an IP:port address')
+            entry_reader.add_error(f'"{address}" is not an IP:port address')
         targets.append(TargetAddress(address, entry_reader.take_string("zone")))
         entry_reader.close()
     return tuple(targets)
@@ -89,13 +89,13 @@
         )
         entry_reader.close()
     if not methods:
-        reader.add_fault('a plain service requires at least one entry in "methods"')
+        reader.add_error('a plain service requires at least one entry in "methods"')
     return methods
 
 
 def _read_trainer(name: str, reader: DocumentReader) -> Trainer:
     if not NAME_PATTERN.fullmatch(name):
-        reader.add_fault(
+        reader.add_error(
             "a trainer name may contain only letters, digits, _ and -, at most 40 characters"
         )
     trainer = Trainer(
@@ -114,13 +114,13 @@
         for dependency in service.depends_on:
             if dependency not in services:
                 known = ", ".join(sorted(services))
-                readers[name].add_fault(
+                readers[name].add_error(
                     f'"{dependency}" is not a service; known services: {known}', "depends_on"
                 )
     for name in services:
         cycle = _find_cycle(name, services)
         if cycle and name == min(cycle):
-            readers[name].add_fault(
+            readers[name].add_error(
                 f"circular dependency: {' -> '.join([*cycle, name])}", "depends_on"
             )
 
@@ -148,6 +148,6 @@
     for name, trainer in trainers.items():
         service = services.get(trainer.service)
         if service is None or service.kind is not ServiceKind.ENGINE:
-            readers[name].add_fault(
+            readers[name].add_error(
                 f'"{trainer.service}" is not a service of kind engine', "service"
             )
--- a/samphirecleat/settings.py
+++ b/samphirecleat/settings.py
@@ -85,7 +85,7 @@
     )
     for seed in settings.seeds:
         if not ADDRESS_PATTERN.match(seed):
-            reader.add_fault(f'"{seed}" is no IP:port', "seeds")
+            reader.add_error(f'"{seed}" is no IP:port', "seeds")
     reader.close()
     return settings
 
@@ -93,28 +93,28 @@
 def _take_name(reader: DocumentReader, key: str) -> str:
     name = reader.take_string(key)
     if name and not re.fullmatch(r"[A-Za-z0-9_-]{1,40}", name):
-        reader.add_fault("only letters, digits, _ and - are allowed, 40 at most", key)
+        reader.add_error("only letters, digits, _ and - are allowed, 40 at most", key)
     return name
 
 
 def _take_address(reader: DocumentReader, key: str) -> str:
     address = reader.take_string(key)
     if address and not ADDRESS_PATTERN.match(address):
-        reader.add_fault("an IP number and a port are expected, such as 10.0.0.5:7000", key)
+        reader.add_error("an IP number and a port are expected, such as 10.0.0.5:7000", key)
     return address
 
 
 def _take_url(reader: DocumentReader, key: str) -> str:
     url = reader.take_string(key)
     if url and not url.startswith(("http://", "https://")):
-        reader.add_fault("a URL that starts with http:// or https:// is expected", key)
+        reader.add_error("a URL that starts with http:// or https:// is expected", key)
     return url.rstrip("/")
 
 
 def _take_shared_key(reader: DocumentReader) -> str:
     key = reader.take_string("shared_key")
     if key and len(key) < MIN_SHARED_KEY_LENGTH:
-        reader.add_fault(f"at least {MIN_SHARED_KEY_LENGTH} characters are expected", "shared_key")
+        reader.add_error(f"at least {MIN_SHARED_KEY_LENGTH} characters are expected", "shared_key")
     return key
 
 
--- a/samphirecleat/standins/_fault_file.py
+++ b/samphirecleat/standins/_fault_file.py
@@ -83,12 +83,12 @@
     if method:
         action = CallMethod(method)
         if method.startswith("_") or not callable(getattr(stand_in, method, None)):
-            row.add_fault(f'this stand-in has no method "{method}"', "call")
+            row.add_error(f'this stand-in has no method "{method}"', "call")
     else:
         name = row.take_string("set")
         known = getattr(stand_in, name, None) if not name.startswith("_") else None
         if not isinstance(known, int | float):
-            row.add_fault(f'this stand-in has no switch or number "{name}"', "set")
+            row.add_error(f'this stand-in has no switch or number "{name}"', "set")
             known = 0
         action = SetAttribute(name, type(known)(row.take_number("to")))
     row.close()
--- a/tests/test_jsonc.py
+++ b/tests/test_jsonc.py
@@ -88,11 +88,11 @@
     text, key, message = TEXT_FAULTS[name]
     with pytest.raises(DocumentError) as caught:
         read_service_text(text)
-    assert any(key in fault.key and message in fault.message for fault in caught.value.faults)
+    assert any(key in fault.key and message in fault.message for fault in caught.value.diagnostics)
 
 
 def test_all_faults_are_told_at_once_in_the_order_of_their_lines() -> None:
     text = '{\n"services": {\n"a": {"kind": "x",\n"depends_on": 3}},\n"extra": 1}'
     with pytest.raises(DocumentError) as caught:
         read_service_text(text)
-    assert [fault.line for fault in caught.value.faults] == [3, 4, 5]
+    assert [fault.line for fault in caught.value.diagnostics] == [3, 4, 5]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -55,7 +55,7 @@
     line = text[: text.index(right)].count("\n") + 1
     with pytest.raises(DocumentError) as caught:
         read_settings(text.replace(right, wrong, 1))
-    (fault,) = caught.value.faults
+    (fault,) = caught.value.diagnostics
     assert (fault.line, fault.key) == (line, key)
     assert message in fault.message
 
@@ -66,5 +66,5 @@
         text = text.replace(right, wrong, 1)
     with pytest.raises(DocumentError) as caught:
         read_settings(text)
-    keys = {fault.key for fault in caught.value.faults}
+    keys = {fault.key for fault in caught.value.diagnostics}
     assert keys == {key for _wrong, key, _message in FAULTS.values()}
