--- a/samphirecleat/node.py
+++ b/samphirecleat/node.py
@@ -63,7 +63,7 @@
         """Build the components, open the listeners and start the controllers."""
         self._build_components()
         await self._listen()
-        for controller in self._drivers():
+        for controller in self._controllers():
             self._tasks.append(asyncio.get_running_loop().create_task(self._supervise(controller)))
         self.observer.log("node").info("Node %s is listening.", self.settings.node_id)
 
@@ -265,7 +265,7 @@
             lambda: self.membership, local_addr=(peer_host, peer_port)
         )
 
-    def _drivers(self) -> Sequence[Controller]:
+    def _controllers(self) -> Sequence[Controller]:
         return [
             self.config_reader.drive,
             self.config_reader.drive_restatement,
--- a/samphirecleat/trial/_faulty_node.py
+++ b/samphirecleat/trial/_faulty_node.py
@@ -43,8 +43,8 @@
             with contextlib.suppress(RuntimeError):
                 transport.resume_reading()
         loop = asyncio.get_running_loop()
-        for drive in self._drivers():
-            self._tasks.append(loop.create_task(self._supervise(drive)))
+        for controller in self._controllers():
+            self._tasks.append(loop.create_task(self._supervise(controller)))
 
     async def _listen(self) -> None:
         await super()._listen()
