--- a/samphirecleat/cli.py
+++ b/samphirecleat/cli.py
@@ -21,7 +21,7 @@
 
     def check(self, file: str) -> None:
         """Validate a service text and print every error with its line and key."""
-        text = _read_text_file(file)
+        text = _read_service_text_or_exit(file)
         print(f"{file}: {len(text.services)} services, {len(text.trainers)} trainers, no fault")
 
     def publish(
@@ -44,7 +44,7 @@
         from ._commands import publish
 
         if not resume:
-            _read_text_file(file)
+            _read_service_text_or_exit(file)
         text = "" if resume else Path(file).read_text(encoding="utf-8")
         sys.exit(_run(publish(text, log, str(operator), base, str(resume), timeout_s)))
 
@@ -98,8 +98,8 @@
     fire.Fire(by_name, name="samphirecleat")
 
 
-def _read_text_file(file: str) -> ServiceText:
-    """Read a service text; if it is invalid, print its errors and exit."""
+def _read_service_text_or_exit(file: str) -> ServiceText:
+    """Read and validate a service text; print its errors and exit with code 2 if invalid."""
     try:
         return read_service_text(Path(file).read_text(encoding="utf-8"), file)
     except (DocumentError, OSError, UnicodeError) as error:
--- a/samphirecleat/client/_caller.py
+++ b/samphirecleat/client/_caller.py
@@ -15,7 +15,7 @@
 from ._entries import Entry, EntryList
 from ._node_call import AnswerLostError, ConnectFailedError, NodeRequest, ReplayFilter, call_node
 from ._resend import (
-    SEND_VOID_KINDS,
+    SEND_NOT_RUN_KINDS,
     AnswerLost,
     ConnectFailed,
     ErrorAnswer,
@@ -159,11 +159,11 @@
         self, state: _CallState, owner: Entry
     ) -> AsyncGenerator[Mapping[str, Any], None]:
         """Send to the owner and, if its answer is lost, retry through other nodes."""
-        asked: list[str] = []
+        contacted: list[str] = []
         node = owner
         sent = False
         while True:
-            asked.append(node.node_id)
+            contacted.append(node.node_id)
             _check_deadline(state.request, sent)
             state.replay_filter.begin_replay()
             try:
@@ -184,7 +184,7 @@
                 case RetryNewKey():
                     raise _NewKeyRequiredError(error)
                 case RetrySameKey():
-                    node = await self._next_node(state, asked)
+                    node = await self._next_node(state, contacted)
 
     def _decide(
         self, state: _CallState, failure: SendFailure, by_owner: bool, sent: bool
@@ -198,11 +198,11 @@
             answer_started=state.replay_filter.answer_started,
         )
 
-    async def _next_node(self, state: _CallState, asked: Sequence[str]) -> Entry:
+    async def _next_node(self, state: _CallState, contacted: Sequence[str]) -> Entry:
         try:
-            if len(asked) >= MAX_NODES_PER_KEY:
+            if len(contacted) >= MAX_NODES_PER_KEY:
                 raise RequestError(ErrorKind.OUTCOME_UNKNOWN, "several nodes did not answer")
-            return await self._entries.choose(asked)
+            return await self._entries.choose(contacted)
         except RequestError as error:
             decision = decide_without_nodes(
                 idempotent=state.request.idempotent,
@@ -232,7 +232,7 @@
             self._entries.note_failed(node)
             raise _SendFailedError(AnswerLost()) from error
         except RequestError as error:
-            if error.kind in SEND_VOID_KINDS:
+            if error.kind in SEND_NOT_RUN_KINDS:
                 self._entries.expire()
             raise _SendFailedError(ErrorAnswer(error, by_owner=False)) from error
 
@@ -276,7 +276,7 @@
     """Return the error to report for a failed send if the call ends after it."""
     match failure:
         case ErrorAnswer(error=error):
-            if error.kind in SEND_VOID_KINDS and not sent:
+            if error.kind in SEND_NOT_RUN_KINDS and not sent:
                 return RequestError(error.kind, error.detail, ran=Ran.NO)
             return error
         case ConnectFailed() if not sent:
--- a/samphirecleat/client/_resend.py
+++ b/samphirecleat/client/_resend.py
@@ -63,8 +63,8 @@
 )
 """Kinds that, from a node that does not own the key, may hold for that node only."""
 
-SEND_VOID_KINDS: Final = frozenset({ErrorKind.KEY_EXPIRED, ErrorKind.KEY_OWNER_GONE})
-"""Kinds that tell that the send which the node received will not start a run anywhere."""
+SEND_NOT_RUN_KINDS: Final = frozenset({ErrorKind.KEY_EXPIRED, ErrorKind.KEY_OWNER_GONE})
+"""Kinds by which a node confirms that the send it received will not start a run anywhere."""
 
 
 def decide_retry(
@@ -101,7 +101,7 @@
     if error.ran is Ran.NO:
         retry_at_any_node = ANSWERS[error.kind].retry_at is RetryAt.ANY_NODE
         return RetryNewKey() if retry_at_any_node else Fail(error)
-    if error.kind in SEND_VOID_KINDS and not sent_before:
+    if error.kind in SEND_NOT_RUN_KINDS and not sent_before:
         # The only send of the key was refused, because the owner's process was replaced
         # at its address or the key had expired. It can no longer start anywhere.
         return RetryNewKey()
--- a/samphirecleat/errors.py
+++ b/samphirecleat/errors.py
@@ -88,7 +88,7 @@
     ErrorKind.TARGET_FAILED: Answer(502, Ran.UNKNOWN, RetryAt.NEVER),
     ErrorKind.ANSWER_DISCARDED: Answer(410, Ran.YES, RetryAt.NEVER),
     ErrorKind.OUTCOME_UNKNOWN: Answer(502, Ran.UNKNOWN, RetryAt.NEVER),
-    # The same request may have run before under another id, so NO cannot be claimed.
+    # The same request ran before under another id, so "not run" cannot be guaranteed.
     ErrorKind.CRASHES_TARGETS: Answer(502, Ran.UNKNOWN, RetryAt.NEVER),
     ErrorKind.CRASH_SUSPECTED: Answer(503, Ran.NO, RetryAt.LATER),
     ErrorKind.UNAUTHENTICATED: Answer(401, Ran.NO, RetryAt.NEVER),
--- a/samphirecleat/settings.py
+++ b/samphirecleat/settings.py
@@ -30,7 +30,7 @@
 
 
 class Bounds(NamedTuple):
-    """Limits on the memory that a node uses."""
+    """Limits on the data that a node accepts and stores, in bytes or items."""
 
     body_bytes: int = 1_000_000
     answer_store_bytes: int = 8_000_000
--- a/tests/observe/test_bounded_logs.py
+++ b/tests/observe/test_bounded_logs.py
@@ -14,7 +14,7 @@
     """
     now, stream = [0.0], io.StringIO()
     handler = RateLimitedHandler(stream, 8, lambda: now[0])
-    logger = logging.Logger("test")
+    logger = logging.Logger("flood")
     logger.addHandler(handler)
     for number in range(20):
         logger.info("line %d", number)
@@ -25,5 +25,5 @@
         logger.error("more")
     assert stream.getvalue().count("more") == 1
     now[0] += 1.0
-    logger.info("later")
-    assert "later (lines dropped before: 8)" in stream.getvalue()
+    logger.info("calm")
+    assert "calm (lines dropped before: 8)" in stream.getvalue()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -217,7 +217,7 @@
 
 
 def test_the_lease_holder_is_stopped_past_its_lease_and_woken(tmp_path: Path) -> None:
-    """The lease holder for weight coordination is paused until another node takes over.
+    """The lease holder for weight coordination is stopped until another node takes over.
 
     When it resumes, it still believes that it holds the lease. No engine may accept an
     order with its old fencing number after one with the new number, and all promises
