--- a/tests/requests/test_at_most_once.py
+++ b/tests/requests/test_at_most_once.py
@@ -15,12 +15,12 @@
 )
 
 from samphirecleat.client._resend import (
-    Answered,
     AnswerLost,
-    AskElsewhere,
-    NewKey,
-    SendOutcome,
-    decide_resend,
+    ErrorAnswer,
+    RetryNewKey,
+    RetrySameKey,
+    SendFailure,
+    decide_retry,
     decide_without_nodes,
 )
 from samphirecleat.errors import ErrorKind, Ran, RequestError
@@ -245,26 +245,26 @@
         if error.ran is Ran.NO:
             self.reported_not_run.add(message.key)
         by_owner = message.node == message.key.node_id
-        self._react(message.call, message.key, Answered(error, by_owner))
+        self._react(message.call, message.key, ErrorAnswer(error, by_owner))
 
-    def _react(self, call: ModelCall, key: RequestKey, outcome: SendOutcome) -> None:
+    def _react(self, call: ModelCall, key: RequestKey, outcome: SendFailure) -> None:
         """Apply the client library's decision; a late answer to an earlier key is dropped."""
         if call.ended or key != call.keys[-1]:
             return
-        resend = decide_resend(
+        resend = decide_retry(
             outcome,
             sent_before=call.duplicated or len(call.tried_nodes) > 1,
             idempotent=False,
             answer_started=False,
         )
         untried = [node for node in NODES if node not in call.tried_nodes]
-        if isinstance(resend, AskElsewhere) and not untried:
+        if isinstance(resend, RetrySameKey) and not untried:
             resend = decide_without_nodes(idempotent=False, answer_started=False)
         match resend:
-            case AskElsewhere():
+            case RetrySameKey():
                 call.tried_nodes.append(untried[0])
                 self.network.append(Message(call, key, untried[0]))
-            case NewKey():
+            case RetryNewKey():
                 self._send_new_key(call, NODES[len(call.keys) % len(NODES)])
             case _:
                 call.ended = True
