--- a/samphirecleat/config/__init__.py
+++ b/samphirecleat/config/__init__.py
@@ -1,13 +1,13 @@
-"""The service text: its types, its check, and the fold that puts it in force."""
+"""The service text: types, validation, and the fold of the configuration stream."""
 
-from .._jsonc import DocumentError, Fault
+from .._jsonc import Diagnostic, DocumentError
 from ._check import read_service_text
 from ._fold import (
     ConfigState,
-    Outcome,
+    PublicationOutcome,
     adopt_peer_state,
     fold_records,
-    state_to_tell,
+    restatement_from_state,
 )
 from ._records import (
     ANY_REVISION,
@@ -35,10 +35,10 @@
     "NO_REVISION",
     "ConfigState",
     "DocumentError",
-    "Fault",
+    "Diagnostic",
     "LogRecord",
     "Method",
-    "Outcome",
+    "PublicationOutcome",
     "Publication",
     "Restatement",
     "Service",
@@ -52,5 +52,5 @@
     "read_record",
     "read_service_text",
     "restatement_payload",
-    "state_to_tell",
+    "restatement_from_state",
 ]
--- a/tests/observe/test_bounded_logs.py
+++ b/tests/observe/test_bounded_logs.py
@@ -1,19 +1,19 @@
-"""Logs that stay bounded when a fault writes a line for every request."""
+"""Tests of the rate limit on log lines."""
 
 import io
 import logging
 
-from samphirecleat.observe import BoundedHandler
+from samphirecleat.observe import RateLimitedHandler
 
 
-def test_a_flood_is_cut_and_counted_and_warnings_go_before() -> None:
-    """Every call meets the same fault, and each writes a line.
+def test_excess_lines_are_dropped_and_counted_with_a_reserve_for_warnings() -> None:
+    """Every call fails with the same error and logs a line.
 
-    Unbounded, the writing slows every answer; cut without a word, an engineer would take
-    the gap for calm.
+    Without a limit, logging slows down every response. If the drops were not reported, the
+    gap would look like an absence of errors.
     """
     now, stream = [0.0], io.StringIO()
-    handler = BoundedHandler(stream, 8, lambda: now[0])
+    handler = RateLimitedHandler(stream, 8, lambda: now[0])
     logger = logging.Logger("flood")
     logger.addHandler(handler)
     for number in range(20):
