--- a/samphirecleat/standins/__init__.py
+++ b/samphirecleat/standins/__init__.py
@@ -1,8 +1,8 @@
-"""Small stand-ins for the systems outside, each with a ledger of what truly happened."""
+"""In-process substitutes for external systems, each recording what it actually did."""
 
 from ._command import SERVER_KINDS, make_stand_in, standin_command
 from ._engine import EngineRun, StandInEngine, digest_prompt
-from ._fault_file import TimedFault, bring_about, read_fault_file
+from ._fault_file import TimedFault, inject_faults, read_fault_file
 from ._host_list import HostRow, StandInHostList
 from ._log import LogAppend, StandInLog
 from ._plain import PlainRun, StandInPlainService, StandInScoring, score_text
@@ -12,7 +12,7 @@
 __all__ = [
     "SERVER_KINDS",
     "TimedFault",
-    "bring_about",
+    "inject_faults",
     "make_stand_in",
     "read_fault_file",
     "standin_command",
--- a/samphirecleat/standins/_clients.py
+++ b/samphirecleat/standins/_clients.py
@@ -1,4 +1,4 @@
-"""Stand-ins for callers and a trainer, which print what they receive."""
+"""Sample callers and a sample trainer, which print the answers they receive."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -14,8 +14,8 @@
 async def run_callers(
     nodes: Sequence[str], service: str, method: str, count: int, *, idempotent: bool
 ) -> Mapping[str, int]:
-    """Make ``count`` calls one after the other; return how many ended in which way."""
-    ends: Counter[str] = Counter()
+    """Make ``count`` calls in sequence and return the number of calls per outcome."""
+    outcome_counts: Counter[str] = Counter()
     async with aiohttp.ClientSession() as session:
         client = CallerClient(session, nodes)
         for number in range(count):
@@ -23,12 +23,12 @@
             try:
                 answer = await client.call(service, method, body, idempotent=idempotent)
             except RequestError as error:
-                ends[f"{error.kind.value}, ran: {error.ran.value}"] += 1
+                outcome_counts[f"{error.kind.value}, ran: {error.ran.value}"] += 1
                 print(f"call {number}: {error}", flush=True)
             else:
-                ends["answered"] += 1
-                print(f"call {number}: {_describe(answer.body)}", flush=True)
-    return ends
+                outcome_counts["answered"] += 1
+                print(f"call {number}: {_format_answer(answer.body)}", flush=True)
+    return outcome_counts
 
 
 async def run_trainer(
@@ -42,7 +42,7 @@
     samples_per_group: int = 4,
     staleness_bound: int = 2,
 ) -> None:
-    """Take ``steps`` steps one after the other, publishing new weights after each."""
+    """Run ``steps`` training steps in sequence and publish new weights after each."""
     async with aiohttp.ClientSession() as session:
         version = await _latest_version(session, weight_store, service)
         for number in range(steps):
@@ -59,7 +59,7 @@
             samples = [sample async for sample in client.run_step(request)]
             _print_step(number, request, samples)
             version += 1
-            await _publish(session, weight_store, service, version)
+            await _publish_weights(session, weight_store, service, version)
             print(f"published weights, version {version}", flush=True)
 
 
@@ -68,22 +68,24 @@
         return int((await response.json())["version"])
 
 
-async def _publish(session: aiohttp.ClientSession, store: str, service: str, version: int) -> None:
+async def _publish_weights(
+    session: aiohttp.ClientSession, store: str, service: str, version: int
+) -> None:
     async with session.put(f"{store}/v1/services/{service}/versions/{version}") as response:
         await response.read()
 
 
 def _print_step(number: int, request: StepRequest, samples: Sequence[Sample]) -> None:
     versions = Counter(span.version for sample in samples for span in sample.spans)
-    made_by = ", ".join(f"version {version}" for version in sorted(versions))
+    version_list = ", ".join(f"version {version}" for version in sorted(versions))
     print(
         f"step {number}: {len(samples)} of {request.size} samples, "
-        f"{len({sample.position for sample in samples})} distinct, made by {made_by}",
+        f"{len({sample.position for sample in samples})} distinct, made by {version_list}",
         flush=True,
     )
 
 
-def _describe(body: Mapping[str, object]) -> str:
+def _format_answer(body: Mapping[str, object]) -> str:
     if "spans" in body:
         return f"{body['text']!r} made by {body['spans']}"
     return str(body.get("result"))
--- a/samphirecleat/standins/_command.py
+++ b/samphirecleat/standins/_command.py
@@ -1,4 +1,4 @@
-"""The command ``samphirecleat standin``: one stand-in as a process of its own."""
+"""The ``samphirecleat standin`` command, which runs one stand-in as a process."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 from .._jsonc import DocumentError
 from ._clients import run_callers, run_trainer
 from ._engine import StandInEngine
-from ._fault_file import TimedFault, bring_about, read_fault_file
+from ._fault_file import TimedFault, inject_faults, read_fault_file
 from ._host_list import HostRow, StandInHostList
 from ._log import StandInLog
 from ._plain import StandInPlainService, StandInScoring
@@ -20,7 +20,7 @@
 from ._weight_store import StandInWeightStore
 
 EXIT_BAD_INPUT: Final = 2
-HOSTS_PERIOD_S: Final = 0.5
+HOSTS_FILE_POLL_S: Final = 0.5
 SERVER_KINDS: Final = ("engine", "plain", "scoring", "log", "host-list", "weight-store")
 CLIENT_KINDS: Final = ("trainer", "callers")
 
@@ -42,10 +42,11 @@
 ) -> None:
     """Run a stand-in: engine, plain, scoring, log, host-list, weight-store, trainer, callers.
 
-    A server listens on ``host`` and ``port`` until it is ended; its faults come
-    from the JSON table ``faults``. A host list follows the rows in the JSON file
-    ``hosts``. ``trainer`` takes ``count`` steps and ``callers`` make ``count``
-    calls through ``nodes`` (IP:port with commas between them), then end.
+    A server listens on ``host`` and ``port`` until it is interrupted and injects
+    the faults of the JSON file ``faults``. A host list serves the rows of the JSON
+    file ``hosts`` and rereads it when it changes. ``trainer`` runs ``count`` steps
+    and ``callers`` make ``count`` calls through ``nodes`` (comma-separated IP:port),
+    then exit.
     """
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -54,20 +55,29 @@
                 timed = _read_faults(faults, stand_in)
                 runner.run(_serve(stand_in, kind, host, port, hosts, timed))
             elif kind == "trainer":
-                runner.run(run_trainer(_split(nodes), service, scoring, weight_store, count))
+                runner.run(
+                    run_trainer(_split_addresses(nodes), service, scoring, weight_store, count)
+                )
             elif kind == "callers":
-                calls = run_callers(_split(nodes), service, method, count, idempotent=idempotent)
+                calls = run_callers(
+                    _split_addresses(nodes), service, method, count, idempotent=idempotent
+                )
                 print(dict(runner.run(calls)))
             else:
-                _refuse(f"unknown kind {kind}; allowed: {', '.join(SERVER_KINDS + CLIENT_KINDS)}")
+                _exit_with_usage_error(
+                    f"unknown kind {kind}; allowed: {', '.join(SERVER_KINDS + CLIENT_KINDS)}"
+                )
     except DocumentError as error:
-        _refuse(str(error))
+        _exit_with_usage_error(str(error))
     except KeyboardInterrupt:
         return
 
 
 def make_stand_in(kind: str, service: str, zone: str, weight_store: str) -> StandInServer:
-    """Return a stand-in of one of :data:`SERVER_KINDS` that does not listen yet."""
+    """Return a stand-in that is not listening yet.
+
+    :raises ValueError: if ``kind`` is not one of :data:`SERVER_KINDS`.
+    """
     match kind:
         case "engine":
             return StandInEngine(service, zone, weight_store)
@@ -95,21 +105,21 @@
     await stand_in.start(port, host)
     print(f"The stand-in {kind} listens on {stand_in.address}.", flush=True)
     async with asyncio.TaskGroup() as group:
-        group.create_task(bring_about(stand_in, faults))
+        group.create_task(inject_faults(stand_in, faults))
         if isinstance(stand_in, StandInHostList):
-            group.create_task(_follow_hosts(stand_in, hosts))
+            group.create_task(_follow_hosts_file(stand_in, hosts))
         await asyncio.Event().wait()
 
 
-async def _follow_hosts(host_list: StandInHostList, path: str) -> None:
-    """Show the rows of a file, and read it again whenever it has changed."""
+async def _follow_hosts_file(host_list: StandInHostList, path: str) -> None:
+    """Poll a JSON file of host rows and apply each change to the host list."""
     rows: Sequence[HostRow] = ()
     while path:
-        now = _read_rows(path)
-        if now != rows:
-            rows = now
+        current_rows = _read_rows(path)
+        if current_rows != rows:
+            rows = current_rows
             host_list.put_all(rows)
-        await asyncio.sleep(HOSTS_PERIOD_S)
+        await asyncio.sleep(HOSTS_FILE_POLL_S)
 
 
 def _read_rows(path: str) -> Sequence[HostRow]:
@@ -120,11 +130,11 @@
     return read_fault_file(Path(path).read_text(), path, stand_in) if path else ()
 
 
-def _split(nodes: str | Sequence[str]) -> Sequence[str]:
-    # The command line library turns "a,b" into a tuple by itself.
+def _split_addresses(nodes: str | Sequence[str]) -> Sequence[str]:
+    # Fire parses "a,b" into a tuple before the command is called.
     return nodes.split(",") if isinstance(nodes, str) else nodes
 
 
-def _refuse(reason: str) -> None:
+def _exit_with_usage_error(reason: str) -> None:
     print(reason, file=sys.stderr)
     sys.exit(EXIT_BAD_INPUT)
--- a/samphirecleat/standins/_fault_file.py
+++ b/samphirecleat/standins/_fault_file.py
@@ -1,9 +1,10 @@
-"""Faults of a stand-in that runs as a process: a seeded table in a JSON file.
+"""Scheduled faults of a stand-in process, read from a JSON file.
 
 The file is JSON with comments: ``{"seed": 1, "faults": {"NAME": {...}, ...}}``.
-Each fault comes ``after_s`` from the start, and up to ``jitter_s`` later as the
-seed draws it. It either sets a switch or number of the stand-in (``"set": "down",
-"to": 1``) or calls a method of it (``"call": "silence_open_connections"``).
+Each fault occurs ``after_s`` after the start plus a delay of up to ``jitter_s``,
+drawn from the seed. It either sets a boolean or numeric attribute of the stand-in
+(``"set": "down", "to": 1``) or calls a method without arguments
+(``"call": "silence_open_connections"``).
 """
 
 import asyncio
@@ -19,7 +20,7 @@
 
 @dataclass(frozen=True)
 class SetAttribute:
-    """Give an attribute of the stand-in a value."""
+    """Sets an attribute of the stand-in to a value."""
 
     name: str
     value: bool | int | float
@@ -27,7 +28,7 @@
 
 @dataclass(frozen=True)
 class CallMethod:
-    """Call a method of the stand-in that needs no argument."""
+    """Calls a method of the stand-in without arguments."""
 
     name: str
 
@@ -37,30 +38,30 @@
 
 @dataclass(frozen=True)
 class TimedFault:
-    """A fault and when it comes, in seconds from the stand-in's start."""
+    """A fault and its time in seconds since the stand-in started."""
 
     at_s: float
     action: FaultAction
 
 
 def read_fault_file(text: str, source: str, stand_in: StandInServer) -> Sequence[TimedFault]:
-    """Return the faults of a file, the earliest first.
+    """Parse a fault file and return its faults, earliest first.
 
-    :raises samphirecleat._jsonc.DocumentError: with every fault of the file itself.
+    :raises samphirecleat._jsonc.DocumentError: listing every error in the file.
     """
 
     def build(reader: Reader) -> Sequence[TimedFault]:
         rng = random.Random(reader.take_integer("seed", 0))
         rows = reader.take_objects("faults")
-        faults = [_take_fault(row, rng, stand_in) for row in rows.values()]
+        faults = [_read_fault(row, rng, stand_in) for row in rows.values()]
         reader.close()
         return sorted(faults, key=lambda fault: fault.at_s)
 
     return read_document(text, source, build)
 
 
-async def bring_about(stand_in: StandInServer, faults: Sequence[TimedFault]) -> None:
-    """Bring each fault about at its time."""
+async def inject_faults(stand_in: StandInServer, faults: Sequence[TimedFault]) -> None:
+    """Apply each fault at its scheduled time; ``faults`` must be sorted by time."""
     loop = asyncio.get_running_loop()
     started_at_s = loop.time()
     for fault in faults:
@@ -75,7 +76,7 @@
         print(f"Fault at {fault.at_s:.2f} s: {fault.action}.", flush=True)
 
 
-def _take_fault(row: Reader, rng: random.Random, stand_in: StandInServer) -> TimedFault:
+def _read_fault(row: Reader, rng: random.Random, stand_in: StandInServer) -> TimedFault:
     after_s = row.take_number("after_s")
     at_s = after_s + rng.uniform(0.0, row.take_number("jitter_s", 0.0))
     action: FaultAction
@@ -83,13 +84,13 @@
     if method:
         action = CallMethod(method)
         if method.startswith("_") or not callable(getattr(stand_in, method, None)):
-            row.fault(f'this stand-in has no method "{method}"', "call")
+            row.fault(f'the stand-in has no public method "{method}"', "call")
     else:
         name = row.take_text("set")
-        known = getattr(stand_in, name, None) if not name.startswith("_") else None
-        if not isinstance(known, int | float):
-            row.fault(f'this stand-in has no switch or number "{name}"', "set")
-            known = 0
-        action = SetAttribute(name, type(known)(row.take_number("to")))
+        current_value = getattr(stand_in, name, None) if not name.startswith("_") else None
+        if not isinstance(current_value, int | float):
+            row.fault(f'the stand-in has no public boolean or numeric attribute "{name}"', "set")
+            current_value = 0
+        action = SetAttribute(name, type(current_value)(row.take_number("to")))
     row.close()
     return TimedFault(at_s, action)
--- a/samphirecleat/standins/_host_list.py
+++ b/samphirecleat/standins/_host_list.py
@@ -1,4 +1,4 @@
-"""A small stand-in for the platform's host list, which lags behind reality."""
+"""A substitute for the platform's host list service, whose entries are delayed."""
 
 import time
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 
 
 class HostRow(NamedTuple):
-    """One row that the list will show."""
+    """One host as the list reports it."""
 
     address: str
     service: str
@@ -19,13 +19,14 @@
 
 
 class StandInHostList(StandInServer):
-    """Shows each change only ``lag_s`` after it was made; ``down`` answers 503.
+    """Serves each change ``lag_s`` after it was made; answers 503 while ``down``.
 
-    The ledger ``told_leaving_at_s`` holds when it first told anyone that a host leaves.
+    ``told_leaving_at_s`` records, by address, when a response first listed the host
+    as leaving.
     """
 
     def __init__(self, *, lag_s: float = 1.0) -> None:
-        """Start with an empty list."""
+        """Create an empty host list."""
         super().__init__()
         self.lag_s = lag_s
         self.down = False
@@ -34,30 +35,30 @@
         self.told_leaving_at_s: dict[str, float] = {}
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Add the one route."""
-        router.add_get("/v1/hosts", self._hosts)
+        """Register the route that lists hosts."""
+        router.add_get("/v1/hosts", self._list_hosts)
 
     def put(self, row: HostRow, *, at_once: bool = False) -> None:
-        """Add or replace the row of an address; ``at_once`` goes round the lag."""
+        """Add or replace the row of an address; ``at_once`` skips the lag."""
         visible_at_s = 0.0 if at_once else time.monotonic() + self.lag_s
         self._changes.append((visible_at_s, row))
         self._addresses.add(row.address)
 
     def remove(self, address: str) -> None:
-        """Take the row of an address off the list, after the lag."""
+        """Remove the row of an address after the lag."""
         self._changes.append((time.monotonic() + self.lag_s, address))
         self._addresses.discard(address)
 
     def put_all(self, rows: Iterable[HostRow]) -> None:
-        """Make the list hold just these rows, after the lag."""
-        wanted = {row.address: row for row in rows}
-        for address in self._addresses - set(wanted):
+        """Replace all rows after the lag."""
+        new_rows = {row.address: row for row in rows}
+        for address in self._addresses - set(new_rows):
             self.remove(address)
-        for row in wanted.values():
+        for row in new_rows.values():
             self.put(row)
 
     def visible_rows(self) -> list[HostRow]:
-        """Return what the list shows now."""
+        """Return the rows that a request would get now."""
         now_s = time.monotonic()
         rows: dict[str, HostRow] = {}
         for visible_at_s, change in self._changes:
@@ -69,7 +70,7 @@
                 rows.pop(change, None)
         return list(rows.values())
 
-    async def _hosts(self, _request: web.Request) -> web.StreamResponse:
+    async def _list_hosts(self, _request: web.Request) -> web.StreamResponse:
         if self.down:
             return web.json_response({"error": "down"}, status=503)
         rows = self.visible_rows()
--- a/samphirecleat/standins/_log.py
+++ b/samphirecleat/standins/_log.py
@@ -1,4 +1,4 @@
-"""A small stand-in for the platform's append-only log service."""
+"""An in-memory substitute for the platform's append-only log service."""
 
 import asyncio
 import time
@@ -11,11 +11,11 @@
 from .._waiting import wait_for_event
 from ._server import StandInServer
 
-READ_LIMIT = 500
+MAX_RECORDS_PER_READ = 500
 
 
 class LogAppend(NamedTuple):
-    """One record that was truly appended; the ledger's row."""
+    """One appended record."""
 
     stream: str
     offset: int
@@ -23,19 +23,19 @@
     at_s: float
 
 
-class _Stored(NamedTuple):
+class _StoredRecord(NamedTuple):
     offset: int
     appended_at_s: float
     payload: Mapping[str, Any]
 
 
 class _Stream:
-    """The records of one stream that the log still holds."""
+    """The retained records of one stream."""
 
     def __init__(self) -> None:
-        self.records: deque[_Stored] = deque()
+        self.records: deque[_StoredRecord] = deque()
         self.next_offset = 0
-        self.grew = asyncio.Event()
+        self.appended = asyncio.Event()
 
     @property
     def first_kept_offset(self) -> int:
@@ -43,10 +43,10 @@
 
     def append(self, payload: Mapping[str, Any], now_s: float) -> int:
         offset = self.next_offset
-        self.records.append(_Stored(offset, now_s, payload))
+        self.records.append(_StoredRecord(offset, now_s, payload))
         self.next_offset += 1
-        self.grew.set()
-        self.grew = asyncio.Event()
+        self.appended.set()
+        self.appended = asyncio.Event()
         return offset
 
     def trim(self, before_s: float) -> None:
@@ -55,15 +55,16 @@
 
 
 class StandInLog(StandInServer):
-    """Keeps streams in memory; its faults are switched by its attributes.
+    """Keeps streams in memory; faults are injected through its attributes.
 
-    ``down`` answers 503 to everything. ``lose_answers`` appends that many more
-    records and closes the connection in place of the answer. ``slow_s`` delays
-    every answer. The ledger of appends is ``appends``; it outlives retention.
+    ``down`` makes every request fail with 503. For each of the next ``lose_answers``
+    appends the record is stored and the connection is closed without a response.
+    ``slow_s`` delays every response. ``appends`` records all appends, including
+    those whose records were trimmed.
     """
 
     def __init__(self, *, retention_s: float = 3600.0, appends_per_s: float = 300.0) -> None:
-        """Keep each record for ``retention_s`` and refuse appends above the rate."""
+        """Retain records for ``retention_s`` and answer 429 to appends above the rate."""
         super().__init__()
         self.retention_s = retention_s
         self.appends_per_s = appends_per_s
@@ -73,15 +74,15 @@
         self.appends: list[LogAppend] = []
         self.reads = 0
         self._streams: dict[str, _Stream] = {}
-        self._recent_appends: deque[float] = deque()
+        self._recent_append_times_s: deque[float] = deque()
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Add append and read."""
+        """Register the append and read routes."""
         router.add_post("/v1/streams/{stream}/records", self._append)
         router.add_get("/v1/streams/{stream}/records", self._read)
 
     def trim(self, older_than_s: float) -> None:
-        """Drop every record that is older, as the end of its retention does."""
+        """Drop every record older than ``older_than_s``, as expired retention does."""
         for stream in self._streams.values():
             stream.trim(time.monotonic() - older_than_s)
 
@@ -91,11 +92,11 @@
         if self.down:
             return web.json_response({"error": "down"}, status=503)
         now_s = time.monotonic()
-        if not self._within_rate(now_s):
+        if not self._try_count_append(now_s):
             return web.json_response({"error": "rate"}, status=429)
         payload = await request.json()
         name = request.match_info["stream"]
-        offset = self._stream(name).append(payload, now_s)
+        offset = self._get_stream(name).append(payload, now_s)
         self.appends.append(LogAppend(name, offset, payload, now_s))
         if self.lose_answers > 0:
             self.lose_answers -= 1
@@ -109,14 +110,14 @@
         if self.down:
             return web.json_response({"error": "down"}, status=503)
         self.reads += 1
-        stream = self._stream(request.match_info["stream"])
+        stream = self._get_stream(request.match_info["stream"])
         from_offset = int(request.query["from"])
         if from_offset >= stream.next_offset:
-            await wait_for_event(stream.grew, float(request.query.get("wait_s", "0")))
+            await wait_for_event(stream.appended, float(request.query.get("wait_s", "0")))
         if self.down:
             return web.json_response({"error": "down"}, status=503)
         stream.trim(time.monotonic() - self.retention_s)
-        records = [r for r in stream.records if r.offset >= from_offset][:READ_LIMIT]
+        records = [r for r in stream.records if r.offset >= from_offset][:MAX_RECORDS_PER_READ]
         next_offset = records[-1].offset + 1 if records else stream.next_offset
         return web.json_response(
             {
@@ -126,13 +127,13 @@
             }
         )
 
-    def _stream(self, name: str) -> _Stream:
+    def _get_stream(self, name: str) -> _Stream:
         return self._streams.setdefault(name, _Stream())
 
-    def _within_rate(self, now_s: float) -> bool:
-        while self._recent_appends and self._recent_appends[0] < now_s - 1.0:
-            self._recent_appends.popleft()
-        if len(self._recent_appends) >= self.appends_per_s:
+    def _try_count_append(self, now_s: float) -> bool:
+        while self._recent_append_times_s and self._recent_append_times_s[0] < now_s - 1.0:
+            self._recent_append_times_s.popleft()
+        if len(self._recent_append_times_s) >= self.appends_per_s:
             return False
-        self._recent_appends.append(now_s)
+        self._recent_append_times_s.append(now_s)
         return True
--- a/samphirecleat/standins/_plain.py
+++ b/samphirecleat/standins/_plain.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for plain services and scoring services, with their ledgers."""
+"""Substitutes for plain and scoring services that record the calls they ran."""
 
 import asyncio
 import hashlib
@@ -12,7 +12,7 @@
 
 
 class PlainRun(NamedTuple):
-    """One call that truly ran; the ledger's row."""
+    """One call that the service started to run."""
 
     request_id: str
     method: str
@@ -21,17 +21,18 @@
 
 
 class StandInPlainService(StandInTarget):
-    """Answers ``POST /v1/call/{method}`` and keeps a ledger of its runs.
-
-    Faults: ``refuse_next`` calls get 503 before they start;
-    ``lose_next_answers`` calls run and their connection is closed in place of
-    the answer; ``fail_next`` calls run and answer 500; a call whose prompt is in
-    ``ends_on`` ends it, and it is back ``back_after_s`` later. ``tells_status``, set
-    before the start, adds ``GET /v1/status``, which few plain services have.
+    """Answers ``POST /v1/call/{method}`` and records each run in ``runs``.
+
+    Faults: the next ``refuse_next`` calls get 503 before they run; the next
+    ``lose_next_answers`` calls run and their connection is closed without a
+    response; the next ``fail_next`` calls run and get 500; a call whose prompt is
+    in ``ends_on`` crashes the service, which restarts ``back_after_s`` later and
+    records the run in ``ends``. ``tells_status``, if set before the start, adds
+    ``GET /v1/status``, which few plain services have.
     """
 
     def __init__(self, service: str, zone: str, *, slots: int = 16, call_s: float = 0.02) -> None:
-        """Run up to ``slots`` calls at once, each taking ``call_s``."""
+        """Create a service that reports ``slots`` and takes ``call_s`` for each call."""
         super().__init__(service, zone)
         self.slots = slots
         self.call_s = call_s
@@ -40,17 +41,17 @@
         self.ends_on: set[str] = set()
         self.back_after_s = 0.4
         self.ends: list[PlainRun] = []
-        self._ending: set[asyncio.Task[None]] = set()
+        self._crash_tasks: set[asyncio.Task[None]] = set()
         self.runs: list[PlainRun] = []
         self.runs_by_request: Counter[str] = Counter()
         self.tells_status = False
-        self._ended: set[str] = set()
-        self._busy = 0
-        self._boot = 0
+        self._ended_requests: set[str] = set()
+        self._running_calls = 0
+        self._boot_count = 0
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Add the calls and the load report."""
-        self._boot += 1
+        """Register the call, load report and optional status routes."""
+        self._boot_count += 1
         router.add_post("/v1/call/{method}", self._call)
         router.add_get("/v1/load", self._load_report)
         if self.tells_status:
@@ -72,34 +73,34 @@
         self.runs_by_request[request_id] += 1
         if prompt in self.ends_on:
             self.ends.append(self.runs[-1])
-            self._end()
+            self._schedule_crash()
             await asyncio.Event().wait()
-        self._busy += 1
+        self._running_calls += 1
         try:
             await asyncio.sleep(self.call_s)
         finally:
-            self._busy -= 1
-        self._ended.add(request_id)
+            self._running_calls -= 1
+        self._ended_requests.add(request_id)
         if fault == "fail" or self.fail_next > 0:
             self.fail_next = max(0, self.fail_next - 1)
             return web.json_response({"error": "failed"}, status=500)
         if fault == "lose" or self.lose_next_answers > 0:
             self.lose_next_answers = max(0, self.lose_next_answers - 1)
             _abort(request)
-        return await self._send(request, fault, self.answer(method, body))
+        return await self._respond(request, fault, self.answer(method, body))
 
-    def _end(self) -> None:
-        """End now with all that runs here, and come back as a new instance."""
-        task = asyncio.ensure_future(self._end_and_return())
-        self._ending.add(task)
-        task.add_done_callback(self._ending.discard)
+    def _schedule_crash(self) -> None:
+        """Start a task that crashes the service and restarts it as a new instance."""
+        task = asyncio.ensure_future(self._crash_and_restart())
+        self._crash_tasks.add(task)
+        task.add_done_callback(self._crash_tasks.discard)
 
-    async def _end_and_return(self) -> None:
+    async def _crash_and_restart(self) -> None:
         await self.crash()
         await asyncio.sleep(self.back_after_s)
         await self.restart()
 
-    async def _send(
+    async def _respond(
         self, request: web.Request, fault: str, answer: dict[str, object]
     ) -> web.StreamResponse:
         if fault == "silent":
@@ -117,21 +118,21 @@
         request_id = request.query["request_id"]
         state = "unknown"
         if self.runs_by_request[request_id]:
-            state = "ended" if request_id in self._ended else "running"
+            state = "ended" if request_id in self._ended_requests else "running"
         return web.json_response({"state": state, "progress": 0})
 
     def answer(self, method: str, body: object) -> dict[str, object]:
-        """Return what a call answers."""
+        """Return the response body of a call."""
         return {"method": method, "echo": body}
 
     async def _load_report(self, _request: web.Request) -> web.StreamResponse:
         return web.json_response(
             {
-                "instance": f"{self.service}-{id(self):x}-{self._boot}",
+                "instance": f"{self.service}-{id(self):x}-{self._boot_count}",
                 "version": -1,
                 "loading": False,
                 "leaving": self.leaving,
-                "running": self._busy,
+                "running": self._running_calls,
                 "waiting": 0,
                 "slots": self.slots,
                 "age_s": 0.0,
@@ -145,7 +146,7 @@
 
 
 class StandInScoring(StandInPlainService):
-    """Scores a sample by a digest of its text, so that a check can repeat it."""
+    """Scores a sample by a digest of its text, which checks can recompute."""
 
     def answer(self, method: str, body: object) -> dict[str, object]:
         """Return the score of ``body["text"]``."""
@@ -154,5 +155,5 @@
 
 
 def score_text(text: str) -> float:
-    """Return the score that :class:`StandInScoring` gives a text, 0.0 to 1.0."""
+    """Return the score of :class:`StandInScoring` for a text, from 0.0 to 1.0."""
     return hashlib.blake2b(text.encode(), digest_size=1).digest()[0] / 255.0
--- a/samphirecleat/standins/_weight_store.py
+++ b/samphirecleat/standins/_weight_store.py
@@ -1,4 +1,4 @@
-"""A small stand-in for the rate-limited weight store."""
+"""A substitute for the rate-limited weight store."""
 
 import asyncio
 import time
@@ -9,13 +9,13 @@
 
 
 class StandInWeightStore(StandInServer):
-    """Names the newest version of each service and serves a few loads at once.
+    """Reports the newest version of each service and limits concurrent loads.
 
-    ``refused_loads`` counts loads above ``parallel_loads``, which get 429.
+    Loads above ``parallel_loads`` get 429 and are counted in ``refused_loads``.
     """
 
     def __init__(self, *, parallel_loads: int = 4, load_s: float = 0.3) -> None:
-        """Serve at most ``parallel_loads`` loads at a time, each for ``load_s``."""
+        """Serve at most ``parallel_loads`` concurrent loads, each taking ``load_s``."""
         super().__init__()
         self.parallel_loads = parallel_loads
         self.load_s = load_s
@@ -23,10 +23,10 @@
         self.versions: dict[str, int] = {}
         self.published_at_s: dict[tuple[str, int], float] = {}
         self.refused_loads = 0
-        self._loading = 0
+        self._active_loads = 0
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
-        """Add the newest version, a publication of weights, and a load."""
+        """Register the routes for the latest version, publication and loading."""
         router.add_get("/v1/services/{service}/latest", self._latest)
         router.add_put("/v1/services/{service}/versions/{version}", self._publish)
         router.add_get("/v1/services/{service}/versions/{version}", self._load)
@@ -49,12 +49,12 @@
     async def _load(self, _request: web.Request) -> web.StreamResponse:
         if self.down:
             return web.json_response({"error": "down"}, status=503)
-        if self._loading >= self.parallel_loads:
+        if self._active_loads >= self.parallel_loads:
             self.refused_loads += 1
             return web.json_response({"error": "rate"}, status=429)
-        self._loading += 1
+        self._active_loads += 1
         try:
             await asyncio.sleep(self.load_s)
         finally:
-            self._loading -= 1
+            self._active_loads -= 1
         return web.json_response({"loaded": True})
--- a/tests/standins/test_standin_contracts.py
+++ b/tests/standins/test_standin_contracts.py
@@ -1,4 +1,4 @@
-"""What the stand-ins promise, so that checks can rest on their ledgers."""
+"""The guarantees of the stand-ins on which trial checks and other tests rely."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,7 +21,7 @@
 Body = Callable[[aiohttp.ClientSession], Awaitable[None]]
 
 
-def run_with(stand_in: StandInServer, body: Body) -> None:
+def run_with_server(stand_in: StandInServer, body: Body) -> None:
     async def run() -> None:
         await stand_in.start()
         try:
@@ -33,7 +33,7 @@
     asyncio.run(run())
 
 
-def test_the_log_keeps_offsets_when_it_trims() -> None:
+def test_log_keeps_offsets_after_trim() -> None:
     log = StandInLog()
 
     async def body(session: aiohttp.ClientSession) -> None:
@@ -46,13 +46,13 @@
         assert batch.records == [LogRecord(3, {"n": 3})]
         assert (batch.first_kept_offset, batch.next_offset) == (3, 4)
 
-    run_with(log, body)
+    run_with_server(log, body)
 
 
-def test_the_log_enters_an_append_in_its_ledger_although_its_answer_is_lost() -> None:
-    """The log takes a record and the connection ends before it has answered.
+def test_log_records_append_whose_response_is_lost() -> None:
+    """The log stores a record and the connection closes before the response.
 
-    The appender can not tell whether its record stands in the log.
+    The client cannot tell whether the record was appended.
     """
     log = StandInLog()
     log.lose_answers = 1
@@ -61,11 +61,11 @@
         appended = await HttpLog(session, log.url).append("s", {"n": 1})
         assert appended.outcome is AppendOutcome.UNKNOWN
 
-    run_with(log, body)
+    run_with_server(log, body)
     assert [append.payload for append in log.appends] == [{"n": 1}]
 
 
-def test_a_log_that_is_down_takes_nothing() -> None:
+def test_log_that_is_down_stores_nothing() -> None:
     log = StandInLog()
     log.down = True
 
@@ -76,23 +76,23 @@
         with pytest.raises(LogUnavailableError):
             await client.read("s", 0, 0.0)
 
-    run_with(log, body)
+    run_with_server(log, body)
     assert log.appends == []
 
 
-def test_the_log_refuses_appends_above_its_rate() -> None:
+def test_log_refuses_appends_above_rate() -> None:
     log = StandInLog(appends_per_s=2)
 
     async def body(session: aiohttp.ClientSession) -> None:
         client = HttpLog(session, log.url)
-        ends = [(await client.append("s", {})).outcome for _append in range(3)]
-        assert ends.count(AppendOutcome.NOT_APPENDED) == 1
+        outcomes = [(await client.append("s", {})).outcome for _append in range(3)]
+        assert outcomes.count(AppendOutcome.NOT_APPENDED) == 1
 
-    run_with(log, body)
+    run_with_server(log, body)
     assert len(log.appends) == 2
 
 
-def test_the_host_list_shows_a_change_only_after_its_lag() -> None:
+def test_host_list_serves_change_after_lag() -> None:
     host_list = StandInHostList(lag_s=0.2)
     host_list.put(HostRow("10.0.0.1:1", "s", "z"), at_once=True)
     host_list.put_all([HostRow("10.0.0.2:1", "s", "z")])
@@ -102,10 +102,10 @@
         while [row.address for row in host_list.visible_rows()] != ["10.0.0.2:1"]:
             await asyncio.sleep(0.02)
 
-    run_with(host_list, body)
+    run_with_server(host_list, body)
 
 
-def test_an_engine_enters_what_it_ran_and_refuses_before_it_runs() -> None:
+def test_engine_records_runs_and_refuses_before_running() -> None:
     engine = StandInEngine("s", "z", "http://127.0.0.1:9")
     engine.refuse_next = 1
 
@@ -118,15 +118,15 @@
                 await response.read()
         assert statuses == [503, 200]
 
-    run_with(engine, body)
+    run_with_server(engine, body)
     assert [(run.ended, run.spans) for run in engine.runs] == [(True, [[0, 3]])]
     assert len(engine.arrivals) == 2
 
 
-def test_an_engine_that_checks_fencing_refuses_a_lower_number() -> None:
-    """A coordinator wakes up after its lease has gone to another, and orders.
+def test_engine_refuses_order_with_lower_fencing_token() -> None:
+    """A paused coordinator resumes after losing its lease and sends an old order.
 
-    Without the check, the engine would go back to old weights.
+    Without the fencing check, the engine would load outdated weights.
     """
     engine = StandInEngine("s", "z", "http://127.0.0.1:9")
 
@@ -138,14 +138,14 @@
                 statuses.append(response.status)
         assert statuses == [200, 409]
 
-    run_with(engine, body)
+    run_with_server(engine, body)
     assert engine.refused_orders == 1
 
 
-def test_a_silent_connection_stays_silent_and_a_new_one_works() -> None:
-    """Something between the two ends forgets a connection that stands open.
+def test_silenced_connection_never_answers_and_new_connection_works() -> None:
+    """A middlebox drops the state of an open connection.
 
-    What was sent on it never gets an answer, while a new one is answered.
+    Requests on that connection never get a response; a new connection works.
     """
     server = StandInPlainService("s", "z")
 
@@ -163,10 +163,10 @@
         ):
             assert response.status == 200
 
-    run_with(server, body)
+    run_with_server(server, body)
 
 
-def test_the_weight_store_refuses_loads_above_its_limit() -> None:
+def test_weight_store_refuses_loads_above_limit() -> None:
     store = StandInWeightStore(parallel_loads=1, load_s=0.2)
 
     async def body(session: aiohttp.ClientSession) -> None:
@@ -176,4 +176,4 @@
 
         assert sorted(await asyncio.gather(load(), load())) == [200, 429]
 
-    run_with(store, body)
+    run_with_server(store, body)
--- a/tests/standins/test_standin_fault_file.py
+++ b/tests/standins/test_standin_fault_file.py
@@ -1,12 +1,12 @@
-"""Faults of stand-ins that run as processes, from their JSON table."""
+"""Fault files of stand-ins that run as processes."""
 
 import pytest
 
 from samphirecleat._jsonc import DocumentError
-from samphirecleat.standins import StandInLog, bring_about, read_fault_file
+from samphirecleat.standins import StandInLog, inject_faults, read_fault_file
 
 
-def test_the_same_seed_draws_the_same_times() -> None:
+def test_same_seed_gives_same_times() -> None:
     text = """{"seed": 3, "faults": {
         "back": {"after_s": 9, "jitter_s": 2, "set": "down", "to": 0},
         "outage": {"after_s": 1, "jitter_s": 2, "set": "down", "to": 1}}}"""
@@ -25,16 +25,16 @@
         '{"after_s": 1, "set": "down", "to": 1, "also": 2}',
     ],
 )
-def test_a_fault_that_the_stand_in_does_not_have_is_refused(row: str) -> None:
+def test_invalid_fault_row_is_rejected(row: str) -> None:
     with pytest.raises(DocumentError):
         read_fault_file(f'{{"faults": {{"x": {row}}}}}', "f", StandInLog())
 
 
 @pytest.mark.parametrize(("action", "to"), [("down", True), ("lose_answers", 2)])
-def test_faults_are_brought_about(action: str, to: int) -> None:
+def test_faults_are_applied(action: str, to: int) -> None:
     import asyncio
 
     log = StandInLog()
     text = f'{{"faults": {{"x": {{"after_s": 0, "set": "{action}", "to": {int(to)}}}}}}}'
-    asyncio.run(bring_about(log, read_fault_file(text, "f", log)))
+    asyncio.run(inject_faults(log, read_fault_file(text, "f", log)))
     assert getattr(log, action) == to
