--- a/samphirecleat/explain/__init__.py
+++ b/samphirecleat/explain/__init__.py
@@ -1,4 +1,4 @@
-"""Where the time of steps went, and what was refused since targets ended, from nodes' logs."""
+"""Analyzes node logs: delays of steps, and requests refused because their targets crashed."""
 
 from ._barred import BarredCall, EndSeen, trace_barred
 from ._command import explain_command
--- a/samphirecleat/explain/_command.py
+++ b/samphirecleat/explain/_command.py
@@ -1,4 +1,4 @@
-"""The command ``explain``: thin, over the readers of this package."""
+"""The ``samphirecleat explain`` command."""
 
 import sys
 from collections import defaultdict
@@ -14,32 +14,31 @@
 
 EXIT_BAD_INPUT: Final = 2
 STANDARD_INPUT: Final = "-"
-# Of the ends under a request, so many are named.
-NAMED_ENDS: Final = 5
+MAX_LISTED_ENDS: Final = 5
 
 
 def explain_command(*logs: str) -> None:
-    """Print where each step's time went, and which requests were refused since targets ended.
+    """Print the delays of each step and the requests refused because their targets crashed.
 
-    Reads nodes' logs; ``-`` is standard input.
+    Reads node logs from files; ``-`` is standard input.
 
-    Exit code 2: a file can't be read, or no line of the logs is one of a node.
+    Exits with code 2 if a file cannot be read or no line comes from a node.
     """
     try:
-        reading = read_lines(_sources(logs or (STANDARD_INPUT,)))
+        reading = read_lines(_open_sources(logs or (STANDARD_INPUT,)))
     except (OSError, UnicodeError) as error:
         print(error, file=sys.stderr)
         sys.exit(EXIT_BAD_INPUT)
     if not reading.lines:
-        print("no line of a node's log was found", *reading.faults, sep="\n", file=sys.stderr)
+        print("no node log lines found", *reading.faults, sep="\n", file=sys.stderr)
         sys.exit(EXIT_BAD_INPUT)
     print(render(reading))
 
 
 def render(reading: LogReading) -> str:
-    """Return the tables of steps, of causes and of barred requests, and what could not be read."""
+    """Return tables of steps, causes and barred requests, followed by the omitted input."""
     fleet = trace_steps(reading.lines)
-    began_s = reading.lines[0].time_s
+    log_start_s = reading.lines[0].time_s
     steps = sorted(
         (step for step in fleet.steps.values() if step.accepted_s is not None),
         key=lambda step: step.accepted_s or 0.0,
@@ -47,20 +46,20 @@
     by_step = {step.step_id: gaps_of(step, fleet) for step in steps}
     parts = [
         tabulate(
-            [_step_row(step, by_step[step.step_id], began_s) for step in steps],
+            [_step_row(step, by_step[step.step_id], log_start_s) for step in steps],
             headers=["step", "accepted_s", "items", "whole", "ended_s", "longest gap", "cause"],
             floatfmt=".2f",
         ),
         tabulate(
             _cause_rows(by_step.values()), headers=["cause", "steps", "seconds"], floatfmt=".2f"
         ),
-        _barred_table(trace_barred(reading.lines), began_s),
-        _lost(reading, fleet),
+        _barred_table(trace_barred(reading.lines), log_start_s),
+        _omissions(reading, fleet),
     ]
     return "\n\n".join(part for part in parts if part)
 
 
-def _sources(logs: Sequence[str]) -> Iterator[tuple[str, Iterable[str]]]:
+def _open_sources(logs: Sequence[str]) -> Iterator[tuple[str, Iterable[str]]]:
     for name in logs:
         if name == STANDARD_INPUT:
             yield "standard input", sys.stdin
@@ -69,16 +68,23 @@
             yield name, file
 
 
-def _step_row(step: StepTrace, gaps: Sequence[Gap], began_s: float) -> Sequence[object]:
+def _step_row(step: StepTrace, gaps: Sequence[Gap], log_start_s: float) -> Sequence[object]:
     accepted_s = step.accepted_s or 0.0
-    whole = sum(item.completed_s is not None for item in step.items.values())
+    completed = sum(item.completed_s is not None for item in step.items.values())
     ended = f"{step.ended_s - accepted_s:.2f}" if step.ended_s is not None else "open"
     longest = max(gaps, key=lambda gap: gap.length_s, default=None)
-    told = (f"{longest.length_s:.2f}", _cause_words(longest)) if longest else ("", "")
-    return (step.step_id, accepted_s - began_s, step.item_count, whole, ended, *told)
+    longest_columns = (f"{longest.length_s:.2f}", _format_cause(longest)) if longest else ("", "")
+    return (
+        step.step_id,
+        accepted_s - log_start_s,
+        step.item_count,
+        completed,
+        ended,
+        *longest_columns,
+    )
 
 
-def _cause_words(gap: Gap) -> str:
+def _format_cause(gap: Gap) -> str:
     return f"{gap.cause.value} ({gap.detail})" if gap.detail else gap.cause.value
 
 
@@ -94,19 +100,19 @@
     return [(cause.value, steps[cause], seconds[cause]) for cause in ordered]
 
 
-def _barred_table(calls: Sequence[BarredCall], began_s: float) -> str:
-    """Return a row for each request under which targets ended, on whose word, and how old."""
+def _barred_table(calls: Sequence[BarredCall], log_start_s: float) -> str:
+    """Return a table of the requests that crashed targets and the evidence for it."""
     rows = [
         (
             call.call,
             len(call.ends),
-            "; ".join(f"{end.target} by {end.node}" for end in call.ends[:NAMED_ENDS]),
-            f"{call.barred_s - began_s:.2f}" if call.barred_s is not None else "no",
+            "; ".join(f"{end.target} by {end.node}" for end in call.ends[:MAX_LISTED_ENDS]),
+            f"{call.barred_s - log_start_s:.2f}" if call.barred_s is not None else "no",
             call.held,
             call.refused,
             call.last_request_id,
             f"{call.oldest_evidence_s:.1f}",
-            f"{call.cleared_s - began_s:.2f}" if call.cleared_s is not None else "",
+            f"{call.cleared_s - log_start_s:.2f}" if call.cleared_s is not None else "",
         )
         for call in calls
     ]
@@ -117,12 +123,12 @@
     return tabulate(rows, headers=headers, disable_numparse=True)
 
 
-def _lost(reading: LogReading, fleet: FleetTrace) -> str:
-    words = []
+def _omissions(reading: LogReading, fleet: FleetTrace) -> str:
+    messages = []
     unknown = sum(step.accepted_s is None for step in fleet.steps.values())
     if unknown:
-        words.append(f"{unknown} steps were accepted before these logs begin and are left out.")
+        messages.append(f"{unknown} steps were accepted before these logs begin and are left out.")
     if reading.malformed:
-        words.append(f"{reading.malformed} lines are no lines of a node's log, the first:")
-        words.extend(f"  {fault}" for fault in reading.faults)
-    return "\n".join(words)
+        messages.append(f"{reading.malformed} lines are no lines of a node's log, the first:")
+        messages.extend(f"  {fault}" for fault in reading.faults)
+    return "\n".join(messages)
--- a/samphirecleat/explain/_lines.py
+++ b/samphirecleat/explain/_lines.py
@@ -1,15 +1,14 @@
-"""Lines of nodes' logs, read one by one; what is no such line is counted and never fatal."""
+"""Reads node log lines; malformed lines are counted and skipped."""
 
 import json
 from collections.abc import Iterable, Sequence
 from typing import Final, NamedTuple
 
-# So many malformed lines are named with their place; the others are counted.
-NAMED_FAULTS: Final = 5
+MAX_REPORTED_FAULTS: Final = 5
 
 
 class LogLine(NamedTuple):
-    """One line; ``time_s`` is the node's clock and ``message`` starts with the part's prefix."""
+    """One line; ``time_s`` is the node's clock, ``message`` starts with a component prefix."""
 
     time_s: float
     node: str
@@ -17,7 +16,10 @@
 
 
 class LogReading(NamedTuple):
-    """All lines in the order of their times, and what was wrong with the others."""
+    """All valid lines in chronological order, and the faults of malformed ones.
+
+    ``faults`` describes the first malformed lines, of which there are ``malformed``.
+    """
 
     lines: Sequence[LogLine]
     malformed: int
@@ -25,7 +27,7 @@
 
 
 def read_lines(sources: Iterable[tuple[str, Iterable[str]]]) -> LogReading:
-    """Read named sources; words before a line's JSON, as log collectors add them, are skipped."""
+    """Read (name, lines) sources, skipping text that log collectors put before the JSON."""
     lines: list[LogLine] = []
     faults: list[str] = []
     malformed = 0
@@ -38,13 +40,13 @@
                 lines.append(line)
                 continue
             malformed += 1
-            if len(faults) < NAMED_FAULTS:
+            if len(faults) < MAX_REPORTED_FAULTS:
                 faults.append(f"{name}:{number}: {line}")
     return LogReading(sorted(lines), malformed, faults)
 
 
 def _read_line(raw: str) -> LogLine | str:
-    """Return the line, or what is wrong with it."""
+    """Return the parsed line, or a description of the fault if it is malformed."""
     start = raw.find("{")
     if start < 0:
         return "no JSON object"
--- a/tests/explain/test_barred.py
+++ b/tests/explain/test_barred.py
@@ -1,4 +1,4 @@
-"""From nodes' logs to the requests that were refused since targets ended under them."""
+"""Finding requests in node logs that were refused because targets crashed on them."""
 
 import asyncio
 import io
@@ -19,7 +19,7 @@
 
 @pytest.fixture(scope="module")
 def log() -> Sequence[str]:
-    """Return what a node writes while a request ends its targets and is refused."""
+    """Return the log of a node while a request crashes its targets and is refused."""
     stream = io.StringIO()
     handler = logging.StreamHandler(stream)
     handler.setFormatter(JsonFormatter())
@@ -27,13 +27,13 @@
     logger.addHandler(handler)
     logger.setLevel(logging.INFO)
     try:
-        asyncio.run(_end_three())
+        asyncio.run(_crash_three_targets())
     finally:
         logger.removeHandler(handler)
     return stream.getvalue().splitlines()
 
 
-async def _end_three() -> None:
+async def _crash_three_targets() -> None:
     guard = make_guard(CrashLedger())
     loop = asyncio.get_running_loop()
     for name in ("a", "b", "c"):
@@ -45,10 +45,10 @@
     guard.verdict("r-again", CALL)
 
 
-def test_a_refused_request_is_told_with_who_saw_its_ends_and_how_old_that_is(
+def test_refused_request_lists_observing_nodes_and_evidence_age(
     log: Sequence[str],
 ) -> None:
-    """On-call engineers have a caller's id and the logs, and nothing else."""
+    """On-call engineers have only the request id of a caller and the logs."""
     (call,) = trace_barred(read_lines([("n1.log", log)]).lines)
     assert call.call == CALL.hex()
     assert [(end.target, end.node) for end in call.ends] == [(f"{t}@5", "n1") for t in "abc"]
@@ -59,7 +59,7 @@
     assert all(word in table for word in (CALL.hex(), "a@5 by n1", "r-again"))
 
 
-def test_an_answer_that_cleared_a_request_is_told() -> None:
+def test_answer_that_cleared_request_is_reported() -> None:
     lines = [
         LogLine(0.0, "n1", f"[crashes] request=r call={CALL.hex()} held evidence=a@5/n2/0.4s"),
         LogLine(2.0, "n1", f"[crashes] request=s call={CALL.hex()} answered cleared_ends=3"),
@@ -68,5 +68,5 @@
     assert (call.held, call.cleared_s, call.oldest_evidence_s) == (1, 2.0, 0.4)
 
 
-def test_logs_without_such_requests_have_no_table_of_them() -> None:
+def test_logs_without_barred_requests_give_no_entries() -> None:
     assert trace_barred([LogLine(0.0, "n1", "[front] request=r status=502")]) == []
