--- a/samphirecleat/trial/_checks.py
+++ b/samphirecleat/trial/_checks.py
@@ -8,8 +8,8 @@
 from ..standins import EngineRun, digest_prompt, score_text
 from ._config_checks import check_late, check_reverted
 from ._fleet import Fleet
-from ._onlooker import Onlooker
-from ._records import CallReceipt, ExchangeReceipt, Receipts, SampleReceipt, Tenure
+from ._fleet_monitor import FleetMonitor
+from ._records import CallReceipt, ExchangeReceipt, NodeLifetime, Receipts, SampleReceipt
 from ._verdict import Verdict, judge
 
 T = TypeVar("T")
@@ -21,7 +21,9 @@
 KNOWN_AFTER_S: Final = 3.0
 
 
-def check_promises(fleet: Fleet, receipts: Receipts, onlooker: Onlooker) -> Mapping[str, Verdict]:
+def check_promises(
+    fleet: Fleet, receipts: Receipts, monitor: FleetMonitor
+) -> Mapping[str, Verdict]:
     """Return the verdict on each promise."""
     runs = {run.run_id: run for engine in fleet.engines for run in engine.runs}
     appends = [a for a in fleet.log.appends if a.stream == "config"]
@@ -38,9 +40,9 @@
         "sent_on_after_three_ends": _check_ends(fleet),
         "work_to_leaving_after_3s": _check_leaving(fleet),
         "in_flight_cut_by_drain": _check_drains(fleet, receipts),
-        "config_reverted": check_reverted(appends, onlooker.sights),
+        "config_reverted": check_reverted(appends, monitor.sights),
         "config_late": check_late(
-            appends, onlooker.sights, fleet.tenures, fleet.log_outages, onlooker.seen_until_s
+            appends, monitor.sights, fleet.node_lifetimes, fleet.log_outages, monitor.seen_until_s
         ),
     }
 
@@ -199,14 +201,14 @@
 
 def _check_drains(fleet: Fleet, receipts: Receipts) -> Verdict:
     """Count exchanges with a draining node whose connection ended without a response."""
-    drains = [t for t in fleet.tenures if t.drain_began_at_s < t.ended_at_s]
+    drains = [t for t in fleet.node_lifetimes if t.drain_started_at_s < t.ended_at_s]
     checked = [e for e in receipts.exchanges if any(_was_in_flight(e, t) for t in drains)]
     return judge([exchange for exchange in checked if exchange.cut], len(checked))
 
 
-def _was_in_flight(exchange: ExchangeReceipt, tenure: Tenure) -> bool:
+def _was_in_flight(exchange: ExchangeReceipt, lifetime: NodeLifetime) -> bool:
     return (
-        exchange.address == tenure.http_address
-        and tenure.started_at_s <= exchange.started_at_s <= tenure.ended_at_s
-        and tenure.drain_began_at_s <= exchange.ended_at_s <= tenure.ended_at_s + END_MARGIN_S
+        exchange.address == lifetime.http_address
+        and lifetime.started_at_s <= exchange.started_at_s <= lifetime.ended_at_s
+        and lifetime.drain_started_at_s <= exchange.ended_at_s <= lifetime.ended_at_s + END_MARGIN_S
     )
--- a/samphirecleat/trial/_config_checks.py
+++ b/samphirecleat/trial/_config_checks.py
@@ -8,7 +8,7 @@
 from typing import Final, NamedTuple
 
 from ..standins import LogAppend
-from ._records import ConfigSight, Interval, Tenure
+from ._records import ConfigSight, Interval, NodeLifetime
 from ._verdict import Verdict, judge
 
 IN_FORCE_WITHIN_S: Final = 4.0
@@ -55,7 +55,7 @@
 def check_late(
     appends: Sequence[LogAppend],
     sights: Sequence[ConfigSight],
-    tenures: Sequence[Tenure],
+    node_lifetimes: Sequence[NodeLifetime],
     log_outages: Sequence[Interval],
     seen_until_s: float,
 ) -> Verdict:
@@ -68,37 +68,41 @@
     broken: list[str] = []
     checked = 0
     for accepted in fold_ledger(appends):
-        for tenure in tenures:
-            due_at_s = _due_at_s(accepted.at_s, tenure, log_outages)
-            if min(tenure.ended_at_s, seen_until_s) <= due_at_s:
+        for lifetime in node_lifetimes:
+            due_at_s = _due_at_s(accepted.at_s, lifetime, log_outages)
+            if min(lifetime.ended_at_s, seen_until_s) <= due_at_s:
                 continue
             checked += 1
-            seen = _revision_at(by_incarnation.get(tenure.incarnation, ()), due_at_s)
+            seen = _revision_at(by_incarnation.get(lifetime.incarnation, ()), due_at_s)
             if seen < accepted.revision:
-                broken.append(f"{tenure.node_id} had {seen} when {accepted.revision} was due")
+                broken.append(f"{lifetime.node_id} had {seen} when {accepted.revision} was due")
     return judge(broken, checked)
 
 
 def slowest_in_force_s(
-    appends: Sequence[LogAppend], sights: Sequence[ConfigSight], tenures: Sequence[Tenure]
+    appends: Sequence[LogAppend],
+    sights: Sequence[ConfigSight],
+    node_lifetimes: Sequence[NodeLifetime],
 ) -> float:
     """Return the longest time from acceptance to being in force at a running node."""
     by_incarnation = _group(sights)
     slowest_s = 0.0
     for accepted in fold_ledger(appends):
-        for tenure in tenures:
-            if tenure.started_at_s > accepted.at_s:
+        for lifetime in node_lifetimes:
+            if lifetime.started_at_s > accepted.at_s:
                 continue
-            seen = by_incarnation.get(tenure.incarnation, ())
+            seen = by_incarnation.get(lifetime.incarnation, ())
             in_force = [s.at_s for s in seen if s.revision >= accepted.revision]
             if in_force:
                 slowest_s = max(slowest_s, in_force[0] - accepted.at_s)
     return slowest_s
 
 
-def _due_at_s(accepted_at_s: float, tenure: Tenure, log_outages: Sequence[Interval]) -> float:
-    due_at_s = max(accepted_at_s, tenure.started_at_s) + IN_FORCE_WITHIN_S
-    for interval in sorted([*log_outages, *tenure.frozen]):
+def _due_at_s(
+    accepted_at_s: float, lifetime: NodeLifetime, log_outages: Sequence[Interval]
+) -> float:
+    due_at_s = max(accepted_at_s, lifetime.started_at_s) + IN_FORCE_WITHIN_S
+    for interval in sorted([*log_outages, *lifetime.frozen]):
         if interval.start_s < due_at_s and interval.end_s > accepted_at_s:
             due_at_s = max(due_at_s, interval.end_s + IN_FORCE_WITHIN_S)
     return due_at_s
--- a/samphirecleat/trial/_fleet.py
+++ b/samphirecleat/trial/_fleet.py
@@ -25,7 +25,7 @@
 from ._addresses import AddressPool
 from ._deployments import DeploymentShape, service_text
 from ._faulty_node import FaultyNode
-from ._records import Interval, Tenure
+from ._records import Interval, NodeLifetime
 
 TRIAL_TIMINGS = Timings(
     entry_ttl_s=1.0,
@@ -45,7 +45,7 @@
 class Fleet:
     """Stand-ins and nodes of one deployment; :meth:`start` and :meth:`stop` them.
 
-    ``tenures`` tells of every node that ever ran, ``log_outages`` and
+    ``node_lifetimes`` tells of every node that ever ran, ``log_outages`` and
     ``host_list_outages`` of every time in which the log or the host list could not
     be read, and ``leaving_by_list`` of the targets that leave by the host list only.
     """
@@ -73,7 +73,7 @@
         self.plain: list[StandInPlainService] = []
         self.scoring: list[StandInScoring] = []
         self.nodes: list[FaultyNode] = []
-        self.tenures: list[Tenure] = []
+        self.node_lifetimes: list[NodeLifetime] = []
         self.log_outages: list[Interval] = []
         self.host_list_outages: list[Interval] = []
         self.leaving_by_list: set[str] = set()
@@ -124,24 +124,24 @@
         node = FaultyNode(settings, self.policies)
         await node.start()
         self.nodes.append(node)
-        self.tenures.append(
-            Tenure(node_id, node.board.identity.incarnation, http_address, time.monotonic())
+        self.node_lifetimes.append(
+            NodeLifetime(node_id, node.board.identity.incarnation, http_address, time.monotonic())
         )
         self.host_list.put(HostRow(peer_address, "entry", zone))
         return node
 
     async def kill_node(self, node: FaultyNode) -> None:
         """Kill a node; the host list goes on showing it for a while."""
-        self._end_tenure(node)
+        self._end_lifetime(node)
         await node.kill()
         self.host_list.remove(node.settings.peer_address)
 
     async def drain_node(self, node: FaultyNode) -> None:
         """Tell a node to shut down gracefully, and return when it has."""
-        tenure = self.tenure_of(node)
-        tenure.drain_began_at_s = time.monotonic()
+        lifetime = self.lifetime_of(node)
+        lifetime.drain_started_at_s = time.monotonic()
         await node.drain()
-        self._end_tenure(node)
+        self._end_lifetime(node)
         await node.stop()
         self.host_list.remove(node.settings.peer_address)
 
@@ -152,10 +152,10 @@
             return await self.start_node(old.settings.node_id, zone, old)
         return await self.start_node(f"n{self._started + 1}", zone)
 
-    def tenure_of(self, node: FaultyNode) -> Tenure:
+    def lifetime_of(self, node: FaultyNode) -> NodeLifetime:
         """Return the record of a node's time in service."""
         incarnation = node.board.identity.incarnation
-        return next(t for t in self.tenures if t.incarnation == incarnation)
+        return next(t for t in self.node_lifetimes if t.incarnation == incarnation)
 
     def claim_node(self, rng: random.Random) -> FaultyNode | None:
         """Return a node that no other fault works on, or None when too few are left."""
@@ -206,8 +206,8 @@
         """The HTTP addresses of all nodes, for clients to start from."""
         return [node.settings.http_address for node in self.nodes]
 
-    def _end_tenure(self, node: FaultyNode) -> None:
-        self.tenure_of(node).ended_at_s = time.monotonic()
+    def _end_lifetime(self, node: FaultyNode) -> None:
+        self.lifetime_of(node).ended_at_s = time.monotonic()
         self.nodes.remove(node)
 
     def _zone(self, index: int) -> str:
--- a/samphirecleat/trial/_onlooker.py
+++ b/samphirecleat/trial/_fleet_monitor.py
@@ -10,7 +10,7 @@
 PERIOD_S: Final = 0.05
 
 
-class Onlooker:
+class FleetMonitor:
     """Sees which text each node has in force, and when weights are on all engines."""
 
     def __init__(self, fleet: Fleet) -> None:
--- a/samphirecleat/trial/_measures.py
+++ b/samphirecleat/trial/_measures.py
@@ -6,11 +6,11 @@
 from ..errors import Ran
 from ._config_checks import slowest_in_force_s
 from ._fleet import Fleet
-from ._onlooker import Onlooker
+from ._fleet_monitor import FleetMonitor
 from ._records import CallReceipt, Receipts
 
 
-def measure(fleet: Fleet, receipts: Receipts, onlooker: Onlooker) -> Mapping[str, float]:
+def measure(fleet: Fleet, receipts: Receipts, monitor: FleetMonitor) -> Mapping[str, float]:
     """Return every measure; times are in the unit that its name ends with."""
     answered_ms = [call.took_s * 1000.0 for call in receipts.calls if call.answer is not None]
     staleness = [float(r.pull_version - r.sample.oldest_version) for r in receipts.samples]
@@ -30,8 +30,8 @@
         "answers_unknown": sum(1 for call in receipts.calls if _ran(call) not in (None, Ran.NO)),
         "request_ms_p50": percentile(answered_ms, 50),
         "request_ms_p99": percentile(answered_ms, 99),
-        "weights_everywhere_s": percentile(_weights_everywhere_s(fleet, onlooker), 50),
-        "config_in_force_s": slowest_in_force_s(appends, onlooker.sights, fleet.tenures),
+        "weights_everywhere_s": percentile(_weights_everywhere_s(fleet, monitor), 50),
+        "config_in_force_s": slowest_in_force_s(appends, monitor.sights, fleet.node_lifetimes),
     }
 
 
@@ -47,11 +47,11 @@
     return call.error.ran if call.error is not None else None
 
 
-def _weights_everywhere_s(fleet: Fleet, onlooker: Onlooker) -> Sequence[float]:
+def _weights_everywhere_s(fleet: Fleet, monitor: FleetMonitor) -> Sequence[float]:
     """Return, for each version that got there, the time until all engines had it or newer."""
     service = fleet.shape.engine_service
     return [
         at_s - fleet.store.published_at_s[service, version]
-        for version, at_s in onlooker.everywhere_at_s.items()
+        for version, at_s in monitor.everywhere_at_s.items()
         if (service, version) in fleet.store.published_at_s
     ]
--- a/samphirecleat/trial/_node_faults.py
+++ b/samphirecleat/trial/_node_faults.py
@@ -114,15 +114,15 @@
 
 
 async def _freeze(stage: Stage, node: FaultyNode, pause_s: float) -> None:
-    tenure = stage.fleet.tenure_of(node)
+    lifetime = stage.fleet.lifetime_of(node)
     started_at_s = time.monotonic()
-    tenure.frozen.append(Interval(started_at_s, float("inf")))
+    lifetime.frozen.append(Interval(started_at_s, float("inf")))
     node.freeze()
     try:
         await asyncio.sleep(pause_s)
     finally:
         node.thaw()
-        tenure.frozen[-1] = Interval(started_at_s, time.monotonic())
+        lifetime.frozen[-1] = Interval(started_at_s, time.monotonic())
 
 
 async def _kill_and_replace(stage: Stage, node: FaultyNode) -> None:
--- a/samphirecleat/trial/_records.py
+++ b/samphirecleat/trial/_records.py
@@ -69,7 +69,7 @@
 
 
 @dataclass
-class Tenure:
+class NodeLifetime:
     """The time in service of one node incarnation."""
 
     node_id: str
@@ -77,7 +77,7 @@
     http_address: str
     started_at_s: float
     ended_at_s: float = math.inf
-    drain_began_at_s: float = math.inf
+    drain_started_at_s: float = math.inf
     frozen: list[Interval] = field(default_factory=list)
 
 
--- a/samphirecleat/trial/_run.py
+++ b/samphirecleat/trial/_run.py
@@ -10,9 +10,9 @@
 from ._config_checks import IN_FORCE_WITHIN_S
 from ._deployments import DEPLOYMENTS
 from ._fleet import Fleet
+from ._fleet_monitor import FleetMonitor
 from ._journal import Journal
 from ._measures import measure
-from ._onlooker import Onlooker
 from ._report import TrialReport
 from ._schedule import Schedule
 from ._workload import Workload
@@ -53,9 +53,9 @@
     seconds = max(SHORTEST_LOAD_S, options.seconds)
     journal = Journal()
     workload = Workload(fleet, options.seed)
-    onlooker = Onlooker(fleet)
+    monitor = FleetMonitor(fleet)
     schedule = Schedule(fleet, workload, journal, options.seed, seconds)
-    background = [asyncio.create_task(onlooker.run())]
+    background = [asyncio.create_task(monitor.run())]
     if options.progress:
         background.append(asyncio.create_task(_print_progress(workload, journal, seconds)))
     try:
@@ -67,8 +67,8 @@
         for task in background:
             task.cancel()
         await asyncio.gather(*background, return_exceptions=True)
-    promises = check_promises(fleet, workload.receipts, onlooker)
-    measures = measure(fleet, workload.receipts, onlooker)
+    promises = check_promises(fleet, workload.receipts, monitor)
+    measures = measure(fleet, workload.receipts, monitor)
     return TrialReport(promises, measures, journal.events)
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -20,8 +20,8 @@
 from samphirecleat.trial import DEPLOYMENTS
 from samphirecleat.trial._checks import check_promises
 from samphirecleat.trial._fleet import TRIAL_TIMINGS, Fleet
-from samphirecleat.trial._onlooker import Onlooker
-from samphirecleat.trial._records import Tenure
+from samphirecleat.trial._fleet_monitor import FleetMonitor
+from samphirecleat.trial._records import NodeLifetime
 from samphirecleat.trial._workload import Workload
 
 WAIT_S = 30.0
@@ -32,14 +32,14 @@
 class NodeProcess:
     """One `samphirecleat node` as a process."""
 
-    def __init__(self, process: asyncio.subprocess.Process, tenure: Tenure) -> None:
+    def __init__(self, process: asyncio.subprocess.Process, lifetime: NodeLifetime) -> None:
         self.process = process
-        self.tenure = tenure
+        self.lifetime = lifetime
 
     @property
     def address(self) -> str:
         """Where callers reach it."""
-        return self.tenure.http_address
+        return self.lifetime.http_address
 
     def send(self, signal_number: int) -> None:
         """Send a signal to this process alone."""
@@ -48,7 +48,7 @@
     async def wait(self) -> int:
         """Return its exit code once it has ended."""
         code = await asyncio.wait_for(self.process.wait(), WAIT_S)
-        self.tenure.ended_at_s = time.monotonic()
+        self.lifetime.ended_at_s = time.monotonic()
         return code
 
 
@@ -86,9 +86,9 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "samphirecleat", "node", "--settings", str(path)
         )
-        tenure = Tenure(node_id, "", http_address, time.monotonic())
-        self.tenures.append(tenure)
-        self.processes.append(NodeProcess(process, tenure))
+        lifetime = NodeLifetime(node_id, "", http_address, time.monotonic())
+        self.node_lifetimes.append(lifetime)
+        self.processes.append(NodeProcess(process, lifetime))
         return peer_address
 
     async def end_processes(self) -> None:
@@ -100,7 +100,7 @@
 
     def find(self, node_id: str) -> NodeProcess:
         """Return a node by its id."""
-        return next(node for node in self.processes if node.tenure.node_id == node_id)
+        return next(node for node in self.processes if node.lifetime.node_id == node_id)
 
 
 async def until(condition: Callable[[], Awaitable[bool]], what: str) -> None:
@@ -150,7 +150,7 @@
 
 
 def check(fleet: ProcessFleet, workload: Workload) -> dict:
-    verdicts = dict(check_promises(fleet, workload.receipts, Onlooker(fleet)))
+    verdicts = dict(check_promises(fleet, workload.receipts, FleetMonitor(fleet)))
     for name in NOT_SEEN_FROM_OUTSIDE:
         del verdicts[name]
     broken = {name: verdict for name, verdict in verdicts.items() if verdict.broken}
@@ -174,7 +174,7 @@
                 assert await owner.wait() == -signal.SIGKILL
             drained = next(n for n in fleet.processes if n.process.returncode is None)
             await until_in_flight(workload, drained)
-            drained.tenure.drain_began_at_s = time.monotonic()
+            drained.lifetime.drain_started_at_s = time.monotonic()
             drained.send(signal.SIGTERM)
             assert await drained.wait() == 0
             steps_before = len(workload.receipts.steps)
--- a/tests/trial/test_trial_checks.py
+++ b/tests/trial/test_trial_checks.py
@@ -9,7 +9,7 @@
 from samphirecleat.standins._plain import PlainRun
 from samphirecleat.trial._checks import _check_ends
 from samphirecleat.trial._config_checks import check_late, check_reverted, fold_ledger
-from samphirecleat.trial._records import ConfigSight, Interval, Tenure
+from samphirecleat.trial._records import ConfigSight, Interval, NodeLifetime
 
 
 def publication(offset: int, base: int, text: str, at_s: float) -> LogAppend:
@@ -71,10 +71,10 @@
     Until then its callers are served by the old one. The time does not run while
     the log can not be read or the node stands still.
     """
-    tenure = Tenure("n1", "i", "127.0.0.1:1", started_at_s=9.0, frozen=frozen)
+    lifetime = NodeLifetime("n1", "i", "127.0.0.1:1", started_at_s=9.0, frozen=frozen)
     sights = [ConfigSight("i", 9.5, 0, "first"), ConfigSight("i", in_force_at_s, 1, "second")]
     ledger = [publication(1, -1, "second", at_s=10.0)]
-    verdict = check_late(ledger, sights, [tenure], outages, seen_until_s=40.0)
+    verdict = check_late(ledger, sights, [lifetime], outages, seen_until_s=40.0)
     assert (verdict.broken, verdict.checked) == (broken, checked)
 
 
