--- a/samphirecleat/trial/__init__.py
+++ b/samphirecleat/trial/__init__.py
@@ -1,4 +1,4 @@
-"""`samphirecleat try`: a whole deployment in one process, checked against ledgers."""
+"""`samphirecleat try`: runs a deployment in one process and checks its guarantees."""
 
 from ._addresses import AddressPool, free_port
 from ._command import try_command
--- a/samphirecleat/trial/_addresses.py
+++ b/samphirecleat/trial/_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses for the nodes of a trial that no other process can take meanwhile."""
+"""Allocates loopback addresses that no other process takes."""
 
 import itertools
 import os
@@ -6,34 +6,34 @@
 from typing import Final
 
 FIRST_PORT: Final = 10_000
-PORTS_BELOW_EPHEMERAL: Final = 20_000
+PORT_COUNT: Final = 20_000  # stays below the ephemeral ports of Linux, which start at 32768
 LOOPBACK: Final = "127.0.0.1"
 
 
 class AddressPool:
-    """Hands out pairs of ports on a loopback address that is this process's own.
+    """Allocates ports on a loopback address derived from the process id.
 
-    A port that is merely found free may be taken by another process before the
-    node listens there, and a trial would then fail at random. All of 127.0.0.0/8
-    is loopback on Linux, so the process id names an address that no other trial
-    uses. Where the system has only 127.0.0.1, free ports have to do.
+    Another process could take a free port of 127.0.0.1 before the node binds it,
+    which would make trials flaky. On Linux all of 127.0.0.0/8 is loopback, so each
+    process gets an address of its own. Falls back to free ports on 127.0.0.1 where
+    only that address can be bound.
     """
 
-    _numbers = itertools.count()
+    _port_offsets = itertools.count()
 
     def __init__(self) -> None:
-        """Find out whether the process's own loopback address can be used."""
+        """Select the host address and check that it can be bound."""
         pid = os.getpid()
         self.host = f"127.{64 + (pid >> 16) % 64}.{(pid >> 8) & 255}.{pid & 255}"
-        self._own = _can_bind(self.host)
-        if not self._own:
+        self._has_own_host = _can_bind(self.host)
+        if not self._has_own_host:
             self.host = LOOPBACK
 
     def take(self) -> str:
-        """Return an IP:port that is free for both TCP and UDP."""
-        if not self._own:
+        """Return an IP:port that is free for both TCP and UDP, a new one at each call."""
+        if not self._has_own_host:
             return f"{LOOPBACK}:{free_port()}"
-        port = FIRST_PORT + next(self._numbers) % PORTS_BELOW_EPHEMERAL
+        port = FIRST_PORT + next(self._port_offsets) % PORT_COUNT
         return f"{self.host}:{port}"
 
 
@@ -47,7 +47,7 @@
 
 
 def free_port() -> int:
-    """Return a port that is free for both TCP and UDP now."""
+    """Return a port of 127.0.0.1 that is currently free for both TCP and UDP."""
     while True:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp:
             udp.bind((LOOPBACK, 0))
--- a/samphirecleat/trial/_caller_faults.py
+++ b/samphirecleat/trial/_caller_faults.py
@@ -1,4 +1,4 @@
-"""Faults of callers and strangers: clients that leave or read slowly, bad input."""
+"""Client faults: disconnects, slow readers and invalid input."""
 
 import asyncio
 import json
@@ -9,16 +9,16 @@
 import aiohttp
 
 from ..errors import RequestError
-from ._stage import Stage
+from ._fault_context import FaultContext
 
-LEAVING_CLIENTS: Final = 10
+DISCONNECTING_CLIENTS: Final = 10
 SLOW_READERS: Final = 3
 GARBAGE: Final = bytes(range(256)) * 8
 OVERSIZED_BYTES: Final = 2_000_000
 
 
 class BadRequest(NamedTuple):
-    """A request that a node must refuse with a clear kind."""
+    """A request that a node must reject with a specific error kind."""
 
     path: str
     body: bytes
@@ -40,40 +40,40 @@
 )
 
 
-async def leave_midway(stage: Stage) -> None:
-    """Callers go away midway, and others read a streamed answer very slowly."""
+async def disconnect_clients(context: FaultContext) -> None:
+    """Callers disconnect during calls, and others read a streamed response very slowly."""
     async with aiohttp.ClientSession() as session:
-        client = stage.workload.new_client(session)
-        shape = stage.fleet.shape
+        client = context.workload.new_client(session)
+        shape = context.fleet.shape
         methods = [
             (shape.engine_service, "generate", True),
             (shape.plain_service, shape.plain_once, False),
         ]
         calls = []
-        for number in range(LEAVING_CLIENTS):
-            service, method, idempotent = stage.rng.choice(methods)
-            prompt = f"{stage.name} {stage.rng.random()} {number}"
+        for number in range(DISCONNECTING_CLIENTS):
+            service, method, idempotent = context.rng.choice(methods)
+            prompt = f"{context.name} {context.rng.random()} {number}"
             body = {"prompt": prompt, "max_tokens": 50}
             calls.append(
                 asyncio.create_task(client.call(service, method, body, idempotent=idempotent))
             )
-        readers = [asyncio.create_task(_read_slowly(stage, n)) for n in range(SLOW_READERS)]
-        await asyncio.sleep(stage.rng.uniform(0.005, 0.15))
+        readers = [asyncio.create_task(_read_slowly(context, n)) for n in range(SLOW_READERS)]
+        await asyncio.sleep(context.rng.uniform(0.005, 0.15))
         for call in calls:
             call.cancel()
-        ends = await asyncio.gather(*calls, return_exceptions=True)
-        gone = sum(isinstance(end, asyncio.CancelledError) for end in ends)
-        stage.note(f"{gone} callers went away, {SLOW_READERS} read slowly")
+        outcomes = await asyncio.gather(*calls, return_exceptions=True)
+        disconnected = sum(isinstance(outcome, asyncio.CancelledError) for outcome in outcomes)
+        context.record(f"{disconnected} callers disconnected, {SLOW_READERS} read slowly")
         await asyncio.gather(*readers)
 
 
-async def _read_slowly(stage: Stage, number: int) -> None:
-    """Read a streamed answer a few bytes at a time, and give up before its end."""
-    address = stage.rng.choice(list(stage.fleet.bootstrap))
+async def _read_slowly(context: FaultContext, number: int) -> None:
+    """Read a streamed response a few bytes at a time and disconnect before it ends."""
+    address = context.rng.choice(list(context.fleet.bootstrap))
     host, port = address.rsplit(":", 1)
-    prompt = f"{stage.name} slow {stage.rng.random()} {number}"
+    prompt = f"{context.name} slow {context.rng.random()} {number}"
     body = json.dumps({"prompt": prompt, "max_tokens": 400, "stream": True}).encode()
-    path = f"/v1/services/{stage.fleet.shape.engine_service}/generate"
+    path = f"/v1/services/{context.fleet.shape.engine_service}/generate"
     try:
         reader, writer = await asyncio.open_connection(host, int(port), limit=256)
         writer.write(f"POST {path} HTTP/1.1\r\nHost: {address}\r\n".encode())
@@ -87,9 +87,9 @@
         return
 
 
-async def send_bad_input(stage: Stage) -> None:
-    """Malformed and oversized requests, garbage on every port, datagrams without the key."""
-    node = stage.rng.choice(stage.fleet.nodes)
+async def send_bad_input(context: FaultContext) -> None:
+    """Malformed and oversized requests, random bytes on every port, unauthenticated datagrams."""
+    node = context.rng.choice(context.fleet.nodes)
     host, port = node.settings.peer_address.rsplit(":", 1)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp:
         udp.setblocking(False)
@@ -100,8 +100,8 @@
     kinds: list[Any] = []
     async with aiohttp.ClientSession() as session:
         for bad in BAD_REQUESTS:
-            kinds.append(await _send_bad(stage, session, node.settings.http_address, bad))
-    stage.note(f"bad input to {node.settings.node_id}, answered {kinds}")
+            kinds.append(await _send_bad_request(context, session, node.settings.http_address, bad))
+    context.record(f"sent bad input to {node.settings.node_id}, responses: {kinds}")
 
 
 async def _send_garbage(address: str) -> None:
@@ -115,10 +115,10 @@
         return
 
 
-async def _send_bad(
-    stage: Stage, session: aiohttp.ClientSession, address: str, bad: BadRequest
+async def _send_bad_request(
+    context: FaultContext, session: aiohttp.ClientSession, address: str, bad: BadRequest
 ) -> str:
-    path = bad.path.format(service=stage.fleet.shape.engine_service)
+    path = bad.path.format(service=context.fleet.shape.engine_service)
     timeout = aiohttp.ClientTimeout(total=3.0)
     try:
         async with session.post(
--- a/samphirecleat/trial/_command.py
+++ b/samphirecleat/trial/_command.py
@@ -1,4 +1,4 @@
-"""The command ``samphirecleat try``."""
+"""The ``samphirecleat try`` command."""
 
 import asyncio
 import sys
@@ -13,7 +13,7 @@
 
 EXIT_BROKEN: Final = 1
 EXIT_BAD_INPUT: Final = 2
-FEWEST_NODES: Final = 3
+MIN_NODES: Final = 3
 
 
 def try_command(
@@ -24,12 +24,13 @@
     faults: str = "none",
     report: str = "",
 ) -> None:
-    """Run a whole deployment in one process and check every promise.
+    """Run a deployment in one process and check every promise.
 
-    ``faults`` is none, all, names with commas between them, or list to print
-    the names; ``report`` is a file to write as JSON.
+    ``faults`` is none, all, a comma-separated list of names, or list to print the
+    names; ``report`` is the path of a JSON report to write. Exits with code 1 if a
+    promise was broken or not checked, and with code 2 for invalid options.
     """
-    # The command line library turns "a,b" into a tuple by itself.
+    # Fire parses "a,b" into a tuple before the command is called.
     names = faults if isinstance(faults, str) else ",".join(faults)
     if names == "list":
         _print_faults()
@@ -52,15 +53,17 @@
     try:
         selected = select_faults(faults)
     except UnknownFaultError as error:
-        _refuse(str(error))
+        _exit_with_usage_error(str(error))
     if deployment not in DEPLOYMENTS:
-        _refuse(f"unknown deployment {deployment}; allowed are {', '.join(DEPLOYMENTS)}")
-    if nodes < FEWEST_NODES:
-        _refuse(f"{nodes} nodes; at least {FEWEST_NODES} are needed")
+        _exit_with_usage_error(
+            f"unknown deployment {deployment}; allowed: {', '.join(DEPLOYMENTS)}"
+        )
+    if nodes < MIN_NODES:
+        _exit_with_usage_error(f"{nodes} nodes requested; at least {MIN_NODES} are required")
     return TrialOptions(nodes, seconds, seed, deployment, selected, progress=True)
 
 
-def _refuse(reason: str) -> NoReturn:
+def _exit_with_usage_error(reason: str) -> NoReturn:
     print(reason, file=sys.stderr)
     sys.exit(EXIT_BAD_INPUT)
 
--- a/samphirecleat/trial/_deployments.py
+++ b/samphirecleat/trial/_deployments.py
@@ -1,13 +1,15 @@
-"""The two deployments of today, at the size that the trial runs them."""
+"""The two current deployments, scaled down for trials."""
 
 from collections.abc import Mapping, Sequence
 from typing import Final, NamedTuple
 
 
 class DeploymentShape(NamedTuple):
-    """Zones and server counts of one deployment.
+    """Zones, services and server counts of one deployment.
 
-    ``staleness_weight`` is what its operators weigh more heavily.
+    ``plain_idempotent`` and ``plain_once`` name an idempotent and a non-idempotent
+    method of the plain service. ``staleness_weight`` is how much the operators weigh
+    staleness of samples against trainer idle time.
     """
 
     name: str
@@ -50,7 +52,7 @@
 def service_text(
     shape: DeploymentShape, *, max_swapping_share: float = 0.34, trainers: int = 1
 ) -> str:
-    """Return the service text of a deployment whose targets the host list shows."""
+    """Return the service text of a deployment with targets from the host list."""
     trainer_rows = ", ".join(
         f'"trainer-{number}": {{"service": "{shape.engine_service}", "share": 1}}'
         for number in range(1, trainers + 1)
--- a/samphirecleat/trial/_exchange_watch.py
+++ b/samphirecleat/trial/_exchange_watch.py
@@ -1,4 +1,4 @@
-"""Sees every HTTP exchange of a client session from the connection's side."""
+"""Records every HTTP exchange of a client session through aiohttp tracing."""
 
 import time
 from types import SimpleNamespace
@@ -9,8 +9,8 @@
 from ._records import ExchangeReceipt
 
 
-def watch_exchanges(receipts: list[ExchangeReceipt]) -> aiohttp.TraceConfig:
-    """Return a trace configuration that adds each exchange to ``receipts``."""
+def trace_exchanges(receipts: list[ExchangeReceipt]) -> aiohttp.TraceConfig:
+    """Return a trace configuration that appends each exchange to ``receipts``."""
 
     async def on_start(_session: Any, context: SimpleNamespace, _params: Any) -> None:
         context.started_at_s = time.monotonic()
@@ -23,7 +23,7 @@
     async def on_exception(
         _session: Any, context: SimpleNamespace, params: aiohttp.TraceRequestExceptionParams
     ) -> None:
-        add(context, params, cut=_is_cut(params.exception))
+        add(context, params, cut=_lost_connection(params.exception))
 
     def add(context: SimpleNamespace, params: Any, *, cut: bool) -> None:
         address = f"{params.url.host}:{params.url.port}"
@@ -36,8 +36,11 @@
     return trace
 
 
-def _is_cut(error: BaseException) -> bool:
-    """Tell a connection that ended from one never made, and from the client's own timeout."""
+def _lost_connection(error: BaseException) -> bool:
+    """Whether an established connection was lost.
+
+    False for connections that were never established and for client timeouts.
+    """
     if isinstance(error, aiohttp.ClientConnectorError | TimeoutError):
         return False
     return isinstance(error, aiohttp.ClientError | OSError)
--- a/samphirecleat/trial/_stage.py
+++ b/samphirecleat/trial/_fault_context.py
@@ -1,4 +1,4 @@
-"""What every fault and every exercise of a trial gets to work with."""
+"""The context that faults and exercises of a trial run in."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 from ._workload import Workload
 
 
-class Stage(NamedTuple):
+class FaultContext(NamedTuple):
     """The trial around one fault; ``rng`` is the fault's own, ``seconds`` the trial's length."""
 
     name: str
@@ -21,11 +21,11 @@
     rng: random.Random
     seconds: float
 
-    def note(self, detail: str) -> None:
-        """Write down that this fault did something."""
-        self.journal.note(self.name, detail)
+    def record(self, detail: str) -> None:
+        """Record an event of this fault in the journal."""
+        self.journal.record(self.name, detail)
 
-    async def hold(self, shortest_s: float, longest_s: float) -> None:
-        """Wait for a drawn time, never longer than a fifth of the trial."""
+    async def wait_random(self, shortest_s: float, longest_s: float) -> None:
+        """Wait for a random time, at most a fifth of the duration of the trial."""
         drawn_s = self.rng.uniform(shortest_s, longest_s)
         await asyncio.sleep(min(drawn_s, self.seconds / 5.0))
--- a/samphirecleat/trial/_fault_table.py
+++ b/samphirecleat/trial/_fault_table.py
@@ -1,22 +1,22 @@
-"""The table of all faults that a trial can bring about, by name."""
+"""The table of all faults that a trial can inject, by name."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Final, NamedTuple
 
 from . import _caller_faults, _node_faults, _platform_faults, _target_faults
-from ._stage import Stage
+from ._fault_context import FaultContext
 
 
 class Fault(NamedTuple):
-    """One kind of fault; ``bring`` brings it about once and takes it back."""
+    """One kind of fault; ``inject`` causes it once and then reverts it."""
 
     name: str
-    bring: Callable[[Stage], Awaitable[None]]
+    inject: Callable[[FaultContext], Awaitable[None]]
 
     @property
     def description(self) -> str:
-        """The first line of what the fault says of itself."""
-        return (self.bring.__doc__ or "").strip().split("\n")[0]
+        """First docstring line of ``inject``."""
+        return (self.inject.__doc__ or "").strip().split("\n")[0]
 
 
 FAULTS: Final[Mapping[str, Fault]] = {
@@ -35,9 +35,9 @@
         Fault("swap_pretend", _target_faults.pretend_swaps),
         Fault("answer_lost", _target_faults.lose_answers),
         Fault("plain_silent", _target_faults.silence_plain),
-        Fault("request_ends_targets", _target_faults.end_by_request),
+        Fault("request_ends_targets", _target_faults.crash_by_request),
         Fault("target_refuse", _target_faults.refuse_work),
-        Fault("target_leaving", _target_faults.leave),
+        Fault("target_leaving", _target_faults.announce_leaving),
         Fault("host_list_wrong", _platform_faults.falsify_host_list),
         Fault("host_list_late", _platform_faults.delay_host_list),
         Fault("log_outage", _platform_faults.stop_log),
@@ -46,18 +46,18 @@
         Fault("log_trim", _platform_faults.trim_log),
         Fault("store_outage", _platform_faults.stop_store),
         Fault("operator_race", _platform_faults.race_operators),
-        Fault("clients_leave", _caller_faults.leave_midway),
+        Fault("clients_leave", _caller_faults.disconnect_clients),
         Fault("bad_input", _caller_faults.send_bad_input),
     )
 }
 
 
 class UnknownFaultError(Exception):
-    """A fault's name that is not in the table."""
+    """Raised for a fault name that is not in the table."""
 
 
 def select_faults(names: str) -> tuple[str, ...]:
-    """Return the faults that ``none``, ``all`` or a list with commas names.
+    """Return the faults selected by ``none``, ``all`` or a comma-separated list.
 
     :raises UnknownFaultError: for a name that is not in the table.
     """
@@ -69,6 +69,6 @@
     unknown = [name for name in chosen if name not in FAULTS]
     if unknown:
         raise UnknownFaultError(
-            f"unknown fault {', '.join(unknown)}; allowed are none, all, or of: {', '.join(FAULTS)}"
+            f"unknown fault {', '.join(unknown)}; allowed: none, all, or any of {', '.join(FAULTS)}"
         )
     return chosen
--- a/samphirecleat/trial/_faulty_node.py
+++ b/samphirecleat/trial/_faulty_node.py
@@ -1,4 +1,4 @@
-"""A node that can be killed or frozen in the process that the trial shares with it."""
+"""A node in the trial's process that can be killed or frozen."""
 
 import asyncio
 import contextlib
@@ -8,12 +8,12 @@
 
 
 class FaultyNode(Node):
-    """Adds to a node what the operating system can do to a process."""
+    """Simulates on a node what signals do to a process."""
 
     _frozen = False
 
     async def kill(self) -> None:
-        """End as SIGKILL ends a process: nothing more is sent, drained or answered."""
+        """Stop as after SIGKILL: nothing more is sent, drained or answered."""
         if self._runner is not None:
             for site in list(self._runner.sites):
                 await site.stop()
@@ -22,9 +22,9 @@
         await self.stop()
 
     def freeze(self) -> None:
-        """Stop every controller, and stop reading connections and datagrams.
+        """Stop all controllers and stop reading from connections and datagrams.
 
-        Unlike a process that was sent SIGSTOP, it still takes new connections;
+        Unlike a process after SIGSTOP, the node still accepts new connections;
         ``tests/test_processes.py`` covers the real signal.
         """
         self._frozen = True
@@ -32,12 +32,12 @@
             task.cancel()
         self._tasks.clear()
         for transport in self._open_transports():
-            # A transport that is closing, or paused by flow control, refuses.
+            # Raised if the transport is closing or already paused by flow control.
             with contextlib.suppress(RuntimeError):
                 transport.pause_reading()
 
     def thaw(self) -> None:
-        """Go on after :meth:`freeze`, with whatever view of the world it had."""
+        """Resume after :meth:`freeze` with the state from before."""
         self._frozen = False
         for transport in self._open_transports():
             with contextlib.suppress(RuntimeError):
@@ -48,13 +48,13 @@
 
     async def _listen(self) -> None:
         await super()._listen()
-        take_datagram = self.membership.datagram_received
+        handle_datagram = self.membership.datagram_received
 
         def datagram_received(data: bytes, addr: tuple[str | Any, int]) -> None:
             if not self._frozen:
-                take_datagram(data, addr)
+                handle_datagram(data, addr)
 
-        # Set on the object, since the transport asks it for each datagram.
+        # The transport looks the method up on the object for each datagram.
         setattr(self.membership, "datagram_received", datagram_received)  # noqa: B010
 
     def _open_transports(self) -> list[asyncio.Transport]:
--- a/samphirecleat/trial/_fleet.py
+++ b/samphirecleat/trial/_fleet.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process over loopback: stand-ins and real nodes."""
+"""A deployment in one process over loopback: stand-ins and real nodes."""
 
 import random
 import secrets
@@ -38,16 +38,17 @@
     longest_order_s=1.0,
     progress_timeout_s=2.0,
 )
-FEWEST_UNDISTURBED: Final = 2
-LIST_READ_WITHIN_S: Final = 1.0
+MIN_UNCLAIMED_NODES: Final = 2
+HOST_LIST_READ_DELAY_S: Final = 1.0
 
 
 class Fleet:
-    """Stand-ins and nodes of one deployment; :meth:`start` and :meth:`stop` them.
+    """The stand-ins and nodes of one deployment.
 
-    ``node_lifetimes`` tells of every node that ever ran, ``log_outages`` and
-    ``host_list_outages`` of every time in which the log or the host list could not
-    be read, and ``leaving_by_list`` of the targets that leave by the host list only.
+    ``node_lifetimes`` records every node that was started, ``log_outages`` and
+    ``host_list_outages`` the intervals in which the log or the host list could not
+    be read, and ``leaving_by_list`` the addresses of targets that only the host list
+    reports as leaving.
     """
 
     def __init__(
@@ -57,9 +58,9 @@
         seed: int,
         policies: Policies | None = None,
     ) -> None:
-        """Prepare a fleet of ``node_count`` nodes spread over the zones."""
-        # Each fleet has a key of its own: a port that one fleet gives up may be taken by
-        # another on the same machine, whose heartbeats would else join the two.
+        """Create a fleet of ``node_count`` nodes spread over the zones; starts nothing."""
+        # With a shared key per fleet, heartbeats cannot join two fleets on one machine when a
+        # port released by one is reused by the other.
         self.shared_key = f"trial-{secrets.token_hex(12)}"
         self.policies = policies
         self.first_text = service_text(shape)
@@ -78,11 +79,11 @@
         self.host_list_outages: list[Interval] = []
         self.leaving_by_list: set[str] = set()
         self._addresses = AddressPool()
-        self._disturbed: set[str] = set()
-        self._started = 0
+        self._claimed: set[str] = set()
+        self._started_count = 0
 
     async def start(self) -> None:
-        """Start everything and publish the deployment's service text."""
+        """Start all stand-ins and nodes and publish the service text."""
         for platform in (self.log, self.host_list, self.store):
             await platform.start()
         await self._start_targets()
@@ -91,7 +92,7 @@
             await self.start_node(f"n{index + 1}", self._zone(index))
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all nodes and stand-ins."""
         for node in list(self.nodes):
             await node.stop()
         for target in self.targets:
@@ -102,8 +103,8 @@
     async def start_node(
         self, node_id: str, zone: str, replaced: FaultyNode | None = None
     ) -> FaultyNode:
-        """Start one more node, at the address of ``replaced`` if one is named."""
-        self._started += 1
+        """Start a node, at the addresses of ``replaced`` if given."""
+        self._started_count += 1
         http_address, peer_address = self._addresses.take(), self._addresses.take()
         if replaced is not None:
             http_address = replaced.settings.http_address
@@ -118,7 +119,7 @@
             weight_store_url=self.store.url,
             host_list_url=self.host_list.url,
             seeds=[node.settings.peer_address for node in self.nodes[:3]],
-            seed=self.seed + self._started,
+            seed=self.seed + self._started_count,
             timings=TRIAL_TIMINGS,
         )
         node = FaultyNode(settings, self.policies)
@@ -131,13 +132,13 @@
         return node
 
     async def kill_node(self, node: FaultyNode) -> None:
-        """Kill a node; the host list goes on showing it for a while."""
+        """Kill a node; the host list reports it until its lag has passed."""
         self._end_lifetime(node)
         await node.kill()
         self.host_list.remove(node.settings.peer_address)
 
     async def drain_node(self, node: FaultyNode) -> None:
-        """Tell a node to shut down gracefully, and return when it has."""
+        """Shut a node down gracefully and return when it has stopped."""
         lifetime = self.lifetime_of(node)
         lifetime.drain_started_at_s = time.monotonic()
         await node.drain()
@@ -146,64 +147,68 @@
         self.host_list.remove(node.settings.peer_address)
 
     async def replace_node(self, old: FaultyNode, rng: random.Random) -> FaultyNode:
-        """Start a node for one that ended: at its address, or on another host."""
+        """Start a replacement for a stopped node, at random at its or at new addresses."""
         zone = old.settings.zone
         if rng.random() < 0.5:
             return await self.start_node(old.settings.node_id, zone, old)
-        return await self.start_node(f"n{self._started + 1}", zone)
+        return await self.start_node(f"n{self._started_count + 1}", zone)
 
     def lifetime_of(self, node: FaultyNode) -> NodeLifetime:
-        """Return the record of a node's time in service."""
+        """Return the lifetime record of a node."""
         incarnation = node.board.identity.incarnation
         return next(t for t in self.node_lifetimes if t.incarnation == incarnation)
 
     def claim_node(self, rng: random.Random) -> FaultyNode | None:
-        """Return a node that no other fault works on, or None when too few are left."""
-        free = [n for n in self.nodes if n.board.identity.incarnation not in self._disturbed]
-        if len(free) <= FEWEST_UNDISTURBED:
+        """Claim a random unclaimed node for a fault.
+
+        Returns None if at most ``MIN_UNCLAIMED_NODES`` are unclaimed.
+        """
+        unclaimed = [n for n in self.nodes if n.board.identity.incarnation not in self._claimed]
+        if len(unclaimed) <= MIN_UNCLAIMED_NODES:
             return None
-        node = rng.choice(free)
+        node = rng.choice(unclaimed)
         self.claim(node)
         return node
 
     def claim(self, node: FaultyNode) -> bool:
-        """Keep other faults off a node; False when another fault works on it."""
+        """Claim a node for a fault; return False if another fault has claimed it."""
         incarnation = node.board.identity.incarnation
-        if incarnation in self._disturbed:
+        if incarnation in self._claimed:
             return False
-        self._disturbed.add(incarnation)
+        self._claimed.add(incarnation)
         return True
 
     def release_node(self, node: FaultyNode) -> None:
-        """Let other faults choose a node again."""
-        self._disturbed.discard(node.board.identity.incarnation)
+        """Release the claim on a node."""
+        self._claimed.discard(node.board.identity.incarnation)
 
     def leaving_since_s(self, target: StandInTarget) -> float | None:
-        """Return when somebody first said that a target leaves, None if it stays.
+        """Return when a target was first reported as leaving, None if it is not.
 
-        A host list that told one node and then failed has not told the others, so
-        its word counts only from when it has been up for long enough to be read.
+        If the host list fails right after its first response that reports the target
+        as leaving, other nodes may not have read it; the time is then the end of the
+        outage.
         """
         if target.leaving_since_s is not None:
             return target.leaving_since_s
         if target.address not in self.leaving_by_list:
             return None
-        told_at_s = self.host_list.told_leaving_at_s.get(target.address)
-        if told_at_s is None:
+        listed_at_s = self.host_list.told_leaving_at_s.get(target.address)
+        if listed_at_s is None:
             return None
         for outage in sorted(self.host_list_outages):
-            if outage.start_s < told_at_s + LIST_READ_WITHIN_S and outage.end_s > told_at_s:
-                told_at_s = outage.end_s
-        return told_at_s
+            if outage.start_s < listed_at_s + HOST_LIST_READ_DELAY_S and outage.end_s > listed_at_s:
+                listed_at_s = outage.end_s
+        return listed_at_s
 
     @property
     def targets(self) -> Sequence[StandInTarget]:
-        """All stand-ins that nodes route to."""
+        """All stand-ins that nodes route requests to."""
         return [*self.engines, *self.plain, *self.scoring]
 
     @property
     def bootstrap(self) -> Sequence[str]:
-        """The HTTP addresses of all nodes, for clients to start from."""
+        """HTTP addresses of all nodes, the initial entry list of clients."""
         return [node.settings.http_address for node in self.nodes]
 
     def _end_lifetime(self, node: FaultyNode) -> None:
--- a/samphirecleat/trial/_fleet_monitor.py
+++ b/samphirecleat/trial/_fleet_monitor.py
@@ -1,49 +1,53 @@
-"""Looks at nodes and engines all through a trial and writes down what changes."""
+"""Polls nodes and engines during a trial and records changes."""
 
 import asyncio
 import time
 from typing import Final
 
 from ._fleet import Fleet
-from ._records import ConfigSight
+from ._records import ConfigObservation
 
-PERIOD_S: Final = 0.05
+OBSERVATION_PERIOD_S: Final = 0.05
 
 
 class FleetMonitor:
-    """Sees which text each node has in force, and when weights are on all engines."""
+    """Records the text each node has in force, and when all engines have a version.
+
+    ``fully_deployed_at_s`` holds, by version, when all serving engines first had it or
+    a newer one. Times are on the monotonic clock.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
-        """Look at ``fleet``."""
+        """Create a monitor of ``fleet``."""
         self._fleet = fleet
-        self._last: dict[str, tuple[int, str]] = {}
-        self.sights: list[ConfigSight] = []
-        self.everywhere_at_s: dict[int, float] = {}
-        self.seen_until_s = 0.0
+        self._last_seen: dict[str, tuple[int, str]] = {}
+        self.config_observations: list[ConfigObservation] = []
+        self.fully_deployed_at_s: dict[int, float] = {}
+        self.observed_until_s = 0.0
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Poll until cancelled."""
         while True:
             now_s = time.monotonic()
-            self._look_at_nodes(now_s)
-            self._look_at_engines(now_s)
-            self.seen_until_s = now_s
-            await asyncio.sleep(PERIOD_S)
+            self._observe_nodes(now_s)
+            self._observe_engines(now_s)
+            self.observed_until_s = now_s
+            await asyncio.sleep(OBSERVATION_PERIOD_S)
 
-    def _look_at_nodes(self, now_s: float) -> None:
+    def _observe_nodes(self, now_s: float) -> None:
         for node in self._fleet.nodes:
             config = node.board.config
             incarnation = node.board.identity.incarnation
             seen = (config.revision, config.text)
-            if self._last.get(incarnation) != seen:
-                self._last[incarnation] = seen
-                self.sights.append(ConfigSight(incarnation, now_s, *seen))
+            if self._last_seen.get(incarnation) != seen:
+                self._last_seen[incarnation] = seen
+                self.config_observations.append(ConfigObservation(incarnation, now_s, *seen))
 
-    def _look_at_engines(self, now_s: float) -> None:
+    def _observe_engines(self, now_s: float) -> None:
         fleet = self._fleet
         serving = [e for e in fleet.engines if e.listening and fleet.leaving_since_s(e) is None]
         if not serving:
             return
-        lowest = min(engine.version for engine in serving)
-        for version in range(1, lowest + 1):
-            self.everywhere_at_s.setdefault(version, now_s)
+        lowest_version = min(engine.version for engine in serving)
+        for version in range(1, lowest_version + 1):
+            self.fully_deployed_at_s.setdefault(version, now_s)
--- a/samphirecleat/trial/_journal.py
+++ b/samphirecleat/trial/_journal.py
@@ -1,11 +1,11 @@
-"""Writes down what a trial brought about, and when."""
+"""Records the events of a trial."""
 
 import time
 from typing import Any, TypedDict
 
 
 class FaultEvent(TypedDict):
-    """One thing that was brought about, in seconds from the trial's start."""
+    """One event; ``at_s`` is in seconds since the trial started."""
 
     fault: str
     at_s: float
@@ -13,15 +13,15 @@
 
 
 class Journal:
-    """The events of one trial, in the order in which they came about."""
+    """The events of one trial in chronological order."""
 
     def __init__(self) -> None:
-        """Count time from now."""
+        """Start the clock of the journal."""
         self._started_at_s = time.monotonic()
         self.events: list[FaultEvent] = []
 
-    def note(self, fault: str, detail: str, **figures: Any) -> None:
-        """Write down one event."""
+    def record(self, fault: str, detail: str, **figures: Any) -> None:
+        """Append an event; ``figures`` are added to ``detail`` as name=value."""
         at_s = round(time.monotonic() - self._started_at_s, 3)
-        more = "".join(f" {name}={value}" for name, value in figures.items())
-        self.events.append({"fault": fault, "at_s": at_s, "detail": detail + more})
+        figures_text = "".join(f" {name}={value}" for name, value in figures.items())
+        self.events.append({"fault": fault, "at_s": at_s, "detail": detail + figures_text})
--- a/samphirecleat/trial/_measures.py
+++ b/samphirecleat/trial/_measures.py
@@ -1,4 +1,4 @@
-"""Computes the measures of a trial from its receipts and what the onlooker saw."""
+"""Computes the measures of a trial from client receipts and fleet observations."""
 
 import math
 from collections.abc import Mapping, Sequence
@@ -11,7 +11,7 @@
 
 
 def measure(fleet: Fleet, receipts: Receipts, monitor: FleetMonitor) -> Mapping[str, float]:
-    """Return every measure; times are in the unit that its name ends with."""
+    """Return all measures by name; each name ends with its unit where it has one."""
     answered_ms = [call.took_s * 1000.0 for call in receipts.calls if call.answer is not None]
     staleness = [float(r.pull_version - r.sample.oldest_version) for r in receipts.samples]
     ages_s = [receipt.age_s for receipt in receipts.samples]
@@ -26,32 +26,39 @@
         "steps_completed": sum(1 for step in receipts.steps if step.whole),
         "samples_delivered": len(receipts.samples),
         "answers_whole": len(answered_ms),
-        "answers_refused": sum(1 for call in receipts.calls if _ran(call) is Ran.NO),
-        "answers_unknown": sum(1 for call in receipts.calls if _ran(call) not in (None, Ran.NO)),
+        "answers_refused": sum(1 for call in receipts.calls if _ran_state(call) is Ran.NO),
+        "answers_unknown": sum(
+            1 for call in receipts.calls if _ran_state(call) not in (None, Ran.NO)
+        ),
         "request_ms_p50": percentile(answered_ms, 50),
         "request_ms_p99": percentile(answered_ms, 99),
         "weights_everywhere_s": percentile(_weights_everywhere_s(fleet, monitor), 50),
-        "config_in_force_s": slowest_in_force_s(appends, monitor.sights, fleet.node_lifetimes),
+        "config_in_force_s": slowest_in_force_s(
+            appends, monitor.config_observations, fleet.node_lifetimes
+        ),
     }
 
 
 def percentile(values: Sequence[float], percent: float) -> float:
-    """Return the nearest-rank percentile, 0.0 for no values."""
+    """Return the nearest-rank percentile, 0.0 if ``values`` is empty."""
     if not values:
         return 0.0
     ranked = sorted(values)
     return ranked[max(0, math.ceil(len(ranked) * percent / 100.0) - 1)]
 
 
-def _ran(call: CallReceipt) -> Ran | None:
+def _ran_state(call: CallReceipt) -> Ran | None:
     return call.error.ran if call.error is not None else None
 
 
 def _weights_everywhere_s(fleet: Fleet, monitor: FleetMonitor) -> Sequence[float]:
-    """Return, for each version that got there, the time until all engines had it or newer."""
+    """Return the time from publication until all engines had a version or a newer one.
+
+    One value for each version that reached all engines.
+    """
     service = fleet.shape.engine_service
     return [
         at_s - fleet.store.published_at_s[service, version]
-        for version, at_s in monitor.everywhere_at_s.items()
+        for version, at_s in monitor.fully_deployed_at_s.items()
         if (service, version) in fleet.store.published_at_s
     ]
--- a/samphirecleat/trial/_operator.py
+++ b/samphirecleat/trial/_operator.py
@@ -1,4 +1,4 @@
-"""The operator of a trial: publishes changed texts, with bases that nodes report."""
+"""The operator of a trial, who publishes changed service texts."""
 
 import random
 
@@ -6,27 +6,27 @@
 
 from ..config import Publication, publication_payload
 from ..platform import Appended, HttpLog
-from ._config_checks import INVALID_MARK
+from ._config_checks import INVALID_TEXT_MARKER
 from ._deployments import service_text
 from ._fleet import Fleet
 
 
 class Operator:
-    """Publishes through the log, as ``samphirecleat publish`` does."""
+    """Publishes service texts through the log, as ``samphirecleat publish`` does."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
-        """Draw texts and ids from ``seed``."""
+        """Create an operator whose texts and ids are drawn from ``seed``."""
         self._fleet = fleet
         self._rng = random.Random(f"{seed}/operator")
 
     async def publish(self, name: str, base: int | None = None, *, valid: bool = True) -> Appended:
-        """Publish a changed text; ``base`` defaults to what some node has in force."""
+        """Publish a changed text; ``base`` defaults to the revision of a random node."""
         if base is None:
             base = self.revision_in_force()
         share = round(self._rng.uniform(0.3, 0.6), 3)
         text = service_text(self._fleet.shape, max_swapping_share=share)
         if not valid:
-            text = f"{INVALID_MARK}\n{text.replace('kind', 'sort')}"
+            text = f"{INVALID_TEXT_MARKER}\n{text.replace('kind', 'sort')}"
         publication_id = f"{name}-{self._rng.randrange(2**32):08x}"
         publication = Publication(publication_id, base, text, name)
         async with aiohttp.ClientSession() as session:
@@ -34,5 +34,5 @@
             return await log.append("config", publication_payload(publication))
 
     def revision_in_force(self) -> int:
-        """Return the revision that a node, chosen at random, has in force."""
+        """Return the revision in force at a random node."""
         return self._rng.choice(self._fleet.nodes).board.config.revision
--- a/samphirecleat/trial/_records.py
+++ b/samphirecleat/trial/_records.py
@@ -1,4 +1,4 @@
-"""What callers, the trainer and an onlooker saw in a trial, to hold against ledgers."""
+"""Records of what clients received and what the fleet monitor observed in a trial."""
 
 import math
 from collections.abc import Mapping
@@ -11,14 +11,14 @@
 
 
 class Interval(NamedTuple):
-    """A span of time on the monotonic clock; ``end_s`` is infinite while it lasts."""
+    """An interval on the monotonic clock; ``end_s`` is infinite until it ends."""
 
     start_s: float
     end_s: float
 
 
 class CallReceipt(NamedTuple):
-    """One call and how it ended for its caller."""
+    """One call and its result as seen by the caller."""
 
     service: str
     method: str
@@ -30,12 +30,16 @@
 
     @property
     def prompt(self) -> str:
-        """The prompt, which no other call of the trial has."""
+        """The prompt, unique within the trial."""
         return str(self.body["prompt"])
 
 
 class SampleReceipt(NamedTuple):
-    """One sample; ``pull_version`` is the trainer's version that its pull named."""
+    """One sample received by the trainer.
+
+    ``pull_version`` is the trainer's weight version at the pull that returned the
+    sample; ``age_s`` is the time since the step was started.
+    """
 
     step_id: str
     sample: Sample
@@ -47,7 +51,10 @@
 
 
 class StepReceipt(NamedTuple):
-    """One step with the time the trainer waited for it; not ``whole`` if it hung."""
+    """One step and how long the trainer waited for it.
+
+    ``whole`` is False if the step failed or timed out.
+    """
 
     step_id: str
     size: int
@@ -56,10 +63,10 @@
 
 
 class ExchangeReceipt(NamedTuple):
-    """One HTTP exchange with a node, as its client's connection saw it.
+    """One HTTP exchange with a node as seen by the client.
 
-    ``cut`` holds when the connection ended after it was made and before a
-    response had come.
+    ``cut`` is True if the connection was established and then closed before a
+    response arrived.
     """
 
     address: str
@@ -70,7 +77,7 @@
 
 @dataclass
 class NodeLifetime:
-    """The time in service of one node incarnation."""
+    """The lifetime of one node incarnation, with the intervals in which it was frozen."""
 
     node_id: str
     incarnation: str
@@ -81,8 +88,8 @@
     frozen: list[Interval] = field(default_factory=list)
 
 
-class ConfigSight(NamedTuple):
-    """A revision and text that a node was seen to have in force from a time on."""
+class ConfigObservation(NamedTuple):
+    """A change of the revision and text in force at a node, first observed at ``at_s``."""
 
     incarnation: str
     at_s: float
@@ -92,7 +99,7 @@
 
 @dataclass
 class Receipts:
-    """All that was received in one trial."""
+    """Everything that clients received in one trial."""
 
     calls: list[CallReceipt] = field(default_factory=list)
     samples: list[SampleReceipt] = field(default_factory=list)
--- a/samphirecleat/trial/_report.py
+++ b/samphirecleat/trial/_report.py
@@ -1,4 +1,4 @@
-"""The outcome of a trial: its verdicts, measures and events."""
+"""The report of a trial: verdicts, measures and events."""
 
 import json
 from collections.abc import Mapping, Sequence
@@ -12,7 +12,7 @@
 
 
 class TrialReport(NamedTuple):
-    """The outcome of a trial, see :attr:`failed` for its verdict as a whole."""
+    """The result of a trial; it passed if :attr:`failed` is empty."""
 
     promises: Mapping[str, Verdict]
     measures: Mapping[str, float]
@@ -20,21 +20,21 @@
 
     @property
     def broken(self) -> Sequence[str]:
-        """The promises that did not hold."""
+        """Promises with at least one violation."""
         return [name for name, verdict in self.promises.items() if verdict.broken]
 
     @property
     def unchecked(self) -> Sequence[str]:
-        """The promises over which nothing was checked, which proves nothing."""
+        """Promises without a single check, which therefore cannot pass."""
         return [name for name, verdict in self.promises.items() if not verdict.checked]
 
     @property
     def failed(self) -> Sequence[str]:
-        """The promises that were broken or not checked; empty when the trial passed."""
+        """Promises that were broken or not checked."""
         return [*self.broken, *self.unchecked]
 
     def to_json(self) -> Mapping[str, Any]:
-        """Return the report as it is written to a file."""
+        """Return the report in the format of the JSON file."""
         return {
             "promises": {name: verdict.broken for name, verdict in self.promises.items()},
             "measures": dict(self.measures),
@@ -44,7 +44,7 @@
 
 
 def print_report(report: TrialReport) -> None:
-    """Print a readable summary."""
+    """Print tables of verdicts and measures, with examples of violations."""
     rows = [
         (name, verdict.broken, verdict.checked, _describe(verdict))
         for name, verdict in report.promises.items()
@@ -58,7 +58,7 @@
 
 
 def write_report(report: TrialReport, path: str) -> None:
-    """Write the report as JSON."""
+    """Write the report to a JSON file."""
     Path(path).write_text(json.dumps(report.to_json(), indent=2) + "\n")
 
 
--- a/samphirecleat/trial/_run.py
+++ b/samphirecleat/trial/_run.py
@@ -1,4 +1,4 @@
-"""Runs a trial from start to its report."""
+"""Runs a trial and produces its report."""
 
 import asyncio
 import sys
@@ -7,7 +7,7 @@
 from typing import Final, NamedTuple
 
 from ._checks import check_promises
-from ._config_checks import IN_FORCE_WITHIN_S
+from ._config_checks import IN_FORCE_DEADLINE_S
 from ._deployments import DEPLOYMENTS
 from ._fleet import Fleet
 from ._fleet_monitor import FleetMonitor
@@ -19,15 +19,15 @@
 
 READY_TIMEOUT_S: Final = 15.0
 SCHEDULE_TIMEOUT_S: Final = 60.0
-SHORTEST_LOAD_S: Final = 6.0
+MIN_LOAD_S: Final = 6.0
 PROGRESS_PERIOD_S: Final = 0.5
 
 
 class TrialOptions(NamedTuple):
-    """What the command line chose.
+    """Options of a trial.
 
-    Load is sent for ``seconds``, but for no less than 6 s: that work has
-    stopped coming to a leaving target can only be seen after 3 s.
+    Load is sent for ``seconds``, but at least for ``MIN_LOAD_S``, since a leaving
+    target may still get requests for 3 s and the check needs time after that.
     """
 
     nodes: int = 9
@@ -44,13 +44,13 @@
     await fleet.start()
     try:
         await until_ready(fleet)
-        return await _run_on(fleet, options)
+        return await _run_load(fleet, options)
     finally:
         await fleet.stop()
 
 
-async def _run_on(fleet: Fleet, options: TrialOptions) -> TrialReport:
-    seconds = max(SHORTEST_LOAD_S, options.seconds)
+async def _run_load(fleet: Fleet, options: TrialOptions) -> TrialReport:
+    seconds = max(MIN_LOAD_S, options.seconds)
     journal = Journal()
     workload = Workload(fleet, options.seed)
     monitor = FleetMonitor(fleet)
@@ -61,8 +61,8 @@
     try:
         async with asyncio.TaskGroup() as group:
             group.create_task(workload.run(seconds))
-            group.create_task(_within(SCHEDULE_TIMEOUT_S + seconds, schedule, options.faults))
-        await asyncio.sleep(_settle_s(fleet))
+            group.create_task(_run_schedule(SCHEDULE_TIMEOUT_S + seconds, schedule, options.faults))
+        await asyncio.sleep(_remaining_settle_s(fleet))
     finally:
         for task in background:
             task.cancel()
@@ -72,15 +72,15 @@
     return TrialReport(promises, measures, journal.events)
 
 
-def _settle_s(fleet: Fleet) -> float:
-    """Return how long to go on looking, so that the last text's lateness can be told."""
+def _remaining_settle_s(fleet: Fleet) -> float:
+    """Return how long to keep observing until the deadline of the last text has passed."""
     changes_s = [append.at_s for append in fleet.log.appends if append.stream == "config"]
     changes_s += [outage.end_s for outage in fleet.log_outages]
-    settled_at_s = max(changes_s) + IN_FORCE_WITHIN_S + PROGRESS_PERIOD_S
+    settled_at_s = max(changes_s) + IN_FORCE_DEADLINE_S + PROGRESS_PERIOD_S
     return max(0.0, settled_at_s - time.monotonic())
 
 
-async def _within(timeout_s: float, schedule: Schedule, faults: Sequence[str]) -> None:
+async def _run_schedule(timeout_s: float, schedule: Schedule, faults: Sequence[str]) -> None:
     async with asyncio.timeout(timeout_s):
         await schedule.run(faults)
 
@@ -104,7 +104,10 @@
 
 
 async def until_ready(fleet: Fleet) -> None:
-    """Wait until every node holds the text and sees usable targets."""
+    """Wait until every node is ready and sees all targets and nodes.
+
+    :raises TimeoutError: after ``READY_TIMEOUT_S``.
+    """
     loop = asyncio.get_running_loop()
     give_up_at_s = loop.time() + READY_TIMEOUT_S
     while not all(_is_ready(fleet, index) for index in range(len(fleet.nodes))):
--- a/samphirecleat/trial/_schedule.py
+++ b/samphirecleat/trial/_schedule.py
@@ -1,4 +1,4 @@
-"""Runs the exercises and the chosen faults of a trial at drawn times."""
+"""Schedules the exercises and the selected faults of a trial."""
 
 import asyncio
 import random
@@ -6,25 +6,25 @@
 from typing import Final
 
 from ._exercises import EXERCISES, Exercise
+from ._fault_context import FaultContext
 from ._fault_table import FAULTS
 from ._fleet import Fleet
 from ._journal import Journal
 from ._operator import Operator
-from ._stage import Stage
 from ._workload import Workload
 
-FAULTS_FROM_FRACTION: Final = 0.05
-FAULTS_UNTIL_FRACTION: Final = 0.7
-MOST_TIMES: Final = 2
+FAULTS_START_FRACTION: Final = 0.05
+FAULTS_END_FRACTION: Final = 0.7
+MAX_OCCURRENCES: Final = 2
 
 
 class Schedule:
-    """Draws from the seed when each fault comes, once or twice."""
+    """Runs exercises at fixed times, and each fault at one or two times drawn from the seed."""
 
     def __init__(
         self, fleet: Fleet, workload: Workload, journal: Journal, seed: int, seconds: float
     ) -> None:
-        """Prepare a schedule of ``seconds``."""
+        """Create a schedule for a trial of ``seconds``."""
         self._fleet = fleet
         self._workload = workload
         self._journal = journal
@@ -33,33 +33,33 @@
         self._operator = Operator(fleet, seed)
 
     async def run(self, faults: Sequence[str]) -> None:
-        """Run all exercises and the faults; returns when each has taken its end."""
-        runs = [self._exercise(index, exercise) for index, exercise in enumerate(EXERCISES)]
-        runs += [self._bring(name) for name in faults]
+        """Run all exercises and the named faults; return when all have finished."""
+        runs = [self._run_exercise(index, exercise) for index, exercise in enumerate(EXERCISES)]
+        runs += [self._inject(name) for name in faults]
         async with asyncio.TaskGroup() as group:
             for run in runs:
                 group.create_task(run)
 
-    async def _exercise(self, index: int, exercise: Exercise) -> None:
+    async def _run_exercise(self, index: int, exercise: Exercise) -> None:
         await asyncio.sleep(self._seconds * exercise.at_fraction)
-        await exercise.run(self._stage(exercise.name, f"exercise/{index}"))
+        await exercise.run(self._make_context(exercise.name, f"exercise/{index}"))
 
-    async def _bring(self, name: str) -> None:
-        stage = self._stage(name, name)
-        times = stage.rng.randint(1, MOST_TIMES)
-        span_s = self._seconds * (FAULTS_UNTIL_FRACTION - FAULTS_FROM_FRACTION) / times
-        await asyncio.sleep(self._seconds * FAULTS_FROM_FRACTION)
-        for _time in range(times):
-            await asyncio.sleep(stage.rng.uniform(0.0, span_s))
-            await FAULTS[name].bring(stage)
+    async def _inject(self, name: str) -> None:
+        context = self._make_context(name, name)
+        occurrences = context.rng.randint(1, MAX_OCCURRENCES)
+        span_s = self._seconds * (FAULTS_END_FRACTION - FAULTS_START_FRACTION) / occurrences
+        await asyncio.sleep(self._seconds * FAULTS_START_FRACTION)
+        for _occurrence in range(occurrences):
+            await asyncio.sleep(context.rng.uniform(0.0, span_s))
+            await FAULTS[name].inject(context)
 
-    def _stage(self, name: str, stream: str) -> Stage:
-        return Stage(
+    def _make_context(self, name: str, rng_stream: str) -> FaultContext:
+        return FaultContext(
             name,
             self._fleet,
             self._workload,
             self._operator,
             self._journal,
-            random.Random(f"{self._seed}/{stream}"),
+            random.Random(f"{self._seed}/{rng_stream}"),
             self._seconds,
         )
--- a/samphirecleat/trial/_target_faults.py
+++ b/samphirecleat/trial/_target_faults.py
@@ -1,118 +1,122 @@
-"""Faults of targets: crashes, silence, slowness, false words, lost answers."""
+"""Faults of targets: crashes, silence, slowness, false reports and lost responses."""
 
 import asyncio
 from typing import Final
 
 from ..standins import StandInEngine, StandInPlainService
-from ._stage import Stage
+from ._fault_context import FaultContext
 
-# A request that ends its targets is sent so often, and so far apart: beyond the time in which all
-# nodes hear of it.
-ENDING_SENDINGS: Final = 14
-ENDING_EVERY_S: Final = 0.4
+# Together longer than the time in which all nodes learn of the crashes.
+CRASHING_REQUEST_SENDS: Final = 14
+CRASHING_REQUEST_PERIOD_S: Final = 0.4
 
 
-async def crash_engine(stage: Stage) -> None:
-    """An engine crashes with work in hand and comes back with old weights."""
-    engine = _choose_engine(stage)
+async def crash_engine(context: FaultContext) -> None:
+    """An engine crashes under load and restarts with old weights."""
+    engine = _choose_engine(context)
     if engine is None:
         return
     await engine.crash()
-    stage.note(f"{engine.address} crashed")
-    await stage.hold(0.2, 2.5)
+    context.record(f"{engine.address} crashed")
+    await context.wait_random(0.2, 2.5)
     if not engine.listening:
-        await engine.restart(stage.rng.choice([0, max(0, engine.version - 2)]))
-        stage.note(f"{engine.address} is back with version {engine.version}")
+        await engine.restart(context.rng.choice([0, max(0, engine.version - 2)]))
+        context.record(f"{engine.address} restarted with version {engine.version}")
 
 
-async def silence_engine(stage: Stage) -> None:
-    """Open connections of an engine go silent for good while new ones work."""
-    engine = _choose_engine(stage)
+async def silence_engine(context: FaultContext) -> None:
+    """Open connections of an engine never answer again; new connections work."""
+    engine = _choose_engine(context)
     if engine is not None:
         engine.silence_open_connections()
-        stage.note(f"open connections of {engine.address} are silent")
+        context.record(f"open connections of {engine.address} are silent")
 
 
-async def slow_engine(stage: Stage) -> None:
-    """An engine makes its tokens many times more slowly for a while."""
-    engine = _choose_engine(stage)
+async def slow_engine(context: FaultContext) -> None:
+    """An engine generates tokens many times more slowly for some time."""
+    engine = _choose_engine(context)
     if engine is None:
         return
     usual_s = engine.token_s
-    engine.token_s = usual_s * stage.rng.choice([5.0, 20.0])
-    stage.note(f"{engine.address} is slow")
+    engine.token_s = usual_s * context.rng.choice([5.0, 20.0])
+    context.record(f"{engine.address} is slow")
     try:
-        await stage.hold(1.0, 4.0)
+        await context.wait_random(1.0, 4.0)
     finally:
         engine.token_s = usual_s
 
 
-async def fail_swaps(stage: Stage) -> None:
-    """The next loads of some engines fail partway and keep the old version."""
-    for engine in stage.rng.sample(stage.fleet.engines, 2):
+async def fail_swaps(context: FaultContext) -> None:
+    """The next weight loads of two engines fail and keep the old version."""
+    for engine in context.rng.sample(context.fleet.engines, 2):
         engine.fail_next_loads += 2
-        stage.note(f"the next 2 loads of {engine.address} fail")
+        context.record(f"the next 2 loads of {engine.address} fail")
 
 
-async def pretend_swaps(stage: Stage) -> None:
-    """The next loads of some engines are said to be done and are not."""
-    for engine in stage.rng.sample(stage.fleet.engines, 2):
+async def pretend_swaps(context: FaultContext) -> None:
+    """The next weight load of two engines ends without changing the version."""
+    for engine in context.rng.sample(context.fleet.engines, 2):
         engine.pretend_next_loads += 1
-        stage.note(f"the next load of {engine.address} is pretended")
+        context.record(f"the next load of {engine.address} has no effect")
 
 
-async def lose_answers(stage: Stage) -> None:
-    """Calls to a plain service run and their answers are lost."""
-    server = stage.rng.choice(stage.fleet.plain)
-    server.lose_next_answers += stage.rng.randint(1, 5)
-    stage.note(f"{server.address} loses {server.lose_next_answers} answers")
+async def lose_answers(context: FaultContext) -> None:
+    """Calls to a plain service run but their responses are lost."""
+    server = context.rng.choice(context.fleet.plain)
+    server.lose_next_answers += context.rng.randint(1, 5)
+    context.record(f"{server.address} loses {server.lose_next_answers} responses")
 
 
-async def silence_plain(stage: Stage) -> None:
-    """Open connections of a plain server go silent for good while new ones work."""
-    server = _choose_plain(stage)
+async def silence_plain(context: FaultContext) -> None:
+    """Open connections of a plain server never answer again; new connections work."""
+    server = _choose_plain(context)
     if server is not None:
         server.silence_open_connections()
-        stage.note(f"open connections of {server.address} are silent")
+        context.record(f"open connections of {server.address} are silent")
 
 
-async def end_by_request(stage: Stage) -> None:
-    """A request ends each plain server that begins to run it, and comes again at every node."""
-    fleet = stage.fleet
-    prompt = f"{stage.name} {stage.rng.random()}"
+async def crash_by_request(context: FaultContext) -> None:
+    """A request that crashes every plain server that runs it is sent to all nodes in turn."""
+    fleet = context.fleet
+    prompt = f"{context.name} {context.rng.random()}"
     for server in fleet.plain:
         server.ends_on.add(prompt)
-    async with stage.workload.new_session() as session:
-        for number in range(ENDING_SENDINGS):
+    async with context.workload.new_session() as session:
+        for number in range(CRASHING_REQUEST_SENDS):
             node = fleet.nodes[number % len(fleet.nodes)]
-            await stage.workload.call_plain(session, node, prompt)
-            await asyncio.sleep(ENDING_EVERY_S)
-    ends = sum(run.prompt == prompt for server in fleet.plain for run in server.ends)
-    stage.note(f"a request sent {ENDING_SENDINGS} times ended {ends} plain servers")
-
-
-async def refuse_work(stage: Stage) -> None:
-    """Targets refuse work before they start it."""
-    for target in (stage.rng.choice(stage.fleet.engines), stage.rng.choice(stage.fleet.plain)):
-        target.refuse_next += stage.rng.randint(3, 12)
-        stage.note(f"{target.address} refuses {target.refuse_next} requests")
-
-
-async def leave(stage: Stage) -> None:
-    """One more plain server leaves by its own word."""
-    staying = [server for server in stage.fleet.plain if not server.leaving]
+            await context.workload.call_plain(session, node, prompt)
+            await asyncio.sleep(CRASHING_REQUEST_PERIOD_S)
+    crash_count = sum(run.prompt == prompt for server in fleet.plain for run in server.ends)
+    context.record(
+        f"a request sent {CRASHING_REQUEST_SENDS} times crashed {crash_count} plain servers"
+    )
+
+
+async def refuse_work(context: FaultContext) -> None:
+    """An engine and a plain server refuse their next requests."""
+    for target in (
+        context.rng.choice(context.fleet.engines),
+        context.rng.choice(context.fleet.plain),
+    ):
+        target.refuse_next += context.rng.randint(3, 12)
+        context.record(f"{target.address} refuses {target.refuse_next} requests")
+
+
+async def announce_leaving(context: FaultContext) -> None:
+    """One more plain server reports that it is leaving."""
+    staying = [server for server in context.fleet.plain if not server.leaving]
     if len(staying) > 1:
-        server = stage.rng.choice(staying)
+        server = context.rng.choice(staying)
         server.leave()
-        stage.note(f"{server.address} says that it leaves")
+        context.record(f"{server.address} reports that it is leaving")
     await asyncio.sleep(0)
 
 
-def _choose_engine(stage: Stage) -> StandInEngine | None:
-    engines = [engine for engine in stage.fleet.engines if engine.listening]
-    return stage.rng.choice(engines) if len(engines) > 1 else None
+def _choose_engine(context: FaultContext) -> StandInEngine | None:
+    engines = [engine for engine in context.fleet.engines if engine.listening]
+    return context.rng.choice(engines) if len(engines) > 1 else None
 
 
-def _choose_plain(stage: Stage) -> StandInPlainService | None:
-    servers = [server for server in stage.fleet.plain if server.listening]
-    return stage.rng.choice(servers) if servers else None
+def _choose_plain(context: FaultContext) -> StandInPlainService | None:
+    servers = [server for server in context.fleet.plain if server.listening]
+    return context.rng.choice(servers) if servers else None
--- a/samphirecleat/trial/_verdict.py
+++ b/samphirecleat/trial/_verdict.py
@@ -1,20 +1,23 @@
-"""The outcome of checking one promise."""
+"""The result of checking one promise."""
 
 from collections.abc import Sequence
 from typing import Final, NamedTuple
 
-EXAMPLES_KEPT: Final = 5
+MAX_EXAMPLES: Final = 5
 
 
 class Verdict(NamedTuple):
-    """How often a promise was broken, over how many checked items, with examples."""
+    """Number of violations and of checked items, with examples of violations."""
 
     broken: int
     checked: int
     examples: Sequence[str] = ()
 
 
-def judge(broken: Sequence[object], checked: int, count: int | None = None) -> Verdict:
-    """Return the verdict on ``broken`` items; ``count`` if each counts for more than one."""
-    examples = [str(item) for item in broken[:EXAMPLES_KEPT]]
+def make_verdict(broken: Sequence[object], checked: int, count: int | None = None) -> Verdict:
+    """Return the verdict for the ``broken`` items.
+
+    ``count`` replaces their number if one item stands for several violations.
+    """
+    examples = [str(item) for item in broken[:MAX_EXAMPLES]]
     return Verdict(len(broken) if count is None else count, checked, examples)
--- a/samphirecleat/trial/_workload.py
+++ b/samphirecleat/trial/_workload.py
@@ -1,4 +1,4 @@
-"""The load of a trial: callers of both services, and one trainer with its steps."""
+"""The load of a trial: callers of both services and one trainer."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 from ..errors import ErrorKind, RequestError
 from ..node import Node
 from ..steps import Sample
-from ._exchange_watch import watch_exchanges
+from ._exchange_watch import trace_exchanges
 from ._fleet import Fleet
 from ._records import CallReceipt, Receipts, SampleReceipt, StepReceipt
 
@@ -24,43 +24,43 @@
 SAMPLES_PER_GROUP: Final = 4
 STEP_TOKENS: Final = 24
 STALENESS_BOUND: Final = 2
-TRAIN_S: Final = 0.3
+TRAINING_TIME_S: Final = 0.3
 STEP_TIMEOUT_S: Final = 45.0
 
 
 class Workload:
-    """Drives a fleet until told to stop, and keeps the receipts."""
+    """Sends load to a fleet and keeps the receipts."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
-        """Draw the load from ``seed``."""
+        """Create a workload that is drawn from ``seed``."""
         self._fleet = fleet
         self._rng = random.Random(seed)
         self.receipts = Receipts()
         self.trainer_version = 0
         self._pull_version = 0
-        self._numbers = 0
-        self._calls: set[asyncio.Task[None]] = set()
+        self._prompt_count = 0
+        self._call_tasks: set[asyncio.Task[None]] = set()
         self._stopping = False
 
     async def run(self, seconds: float) -> None:
-        """Send load for ``seconds`` or until :meth:`stop`, then let what is in flight end."""
+        """Send load for ``seconds`` or until :meth:`stop`, then wait for pending calls."""
         async with self.new_session() as session:
-            trainer = asyncio.create_task(self._train(session))
+            trainer = asyncio.create_task(self._run_trainer(session))
             await self._send_calls(session, seconds)
             self.stop()
-            await asyncio.gather(*self._calls, trainer)
+            await asyncio.gather(*self._call_tasks, trainer)
 
     def stop(self) -> None:
-        """Send nothing new; :meth:`run` then returns once all has ended."""
+        """Stop sending new load; :meth:`run` returns when pending calls have finished."""
         self._stopping = True
 
     def new_session(self) -> aiohttp.ClientSession:
-        """Return a session whose exchanges are among the receipts."""
-        traces = [watch_exchanges(self.receipts.exchanges)]
+        """Return a session whose HTTP exchanges are recorded in the receipts."""
+        traces = [trace_exchanges(self.receipts.exchanges)]
         return aiohttp.ClientSession(trace_configs=traces)
 
     def new_client(self, session: aiohttp.ClientSession) -> CallerClient:
-        """Return a caller's client in a zone of the deployment."""
+        """Return a caller client in a random zone of the deployment."""
         zone = self._rng.choice(list(self._fleet.shape.zones))
         return CallerClient(session, self._fleet.bootstrap, zone, seed=self._rng.randrange(2**32))
 
@@ -74,7 +74,7 @@
         max_tokens: int = CALL_TOKENS,
         deadline_s: float = CALL_DEADLINE_S,
     ) -> None:
-        """Make one call and keep its receipt."""
+        """Make one call and record its receipt."""
         body = self._new_body(max_tokens)
 
         async def send() -> CallAnswer:
@@ -82,12 +82,12 @@
                 service, method, body, deadline_s=deadline_s, idempotent=idempotent
             )
 
-        await self._receive(service, method, body, idempotent, send)
+        await self._record_call(service, method, body, idempotent, send)
 
     async def call_node(
         self, session: aiohttp.ClientSession, node: Node, *, max_tokens: int
     ) -> None:
-        """Make one call through this very node, without any retry, and keep its receipt."""
+        """Make one call through the given node without retries and record its receipt."""
         body = self._new_body(max_tokens)
         service = self._fleet.shape.engine_service
         identity = node.board.identity
@@ -104,10 +104,10 @@
                 raise RequestError.from_body(answer["error"])
             return CallAnswer(key, answer)
 
-        await self._receive(service, "generate", body, True, send)
+        await self._record_call(service, "generate", body, True, send)
 
     async def call_plain(self, session: aiohttp.ClientSession, node: Node, prompt: str) -> None:
-        """Send a plain call that may be repeated to this very node; its end is nobody's loss."""
+        """Send an idempotent plain call to the given node and ignore its outcome."""
         shape = self._fleet.shape
         address = node.board.identity.http_address
         url = f"http://{address}/v1/services/{shape.plain_service}/{shape.plain_idempotent}"
@@ -118,12 +118,12 @@
             return
 
     def _new_body(self, max_tokens: int) -> dict[str, Any]:
-        """Return a body with a prompt that no other call of the trial has."""
-        self._numbers += 1
-        prompt = f"quote {self._numbers} for client {self._numbers % 50}"
+        """Return a request body with a prompt that is unique within the trial."""
+        self._prompt_count += 1
+        prompt = f"quote {self._prompt_count} for client {self._prompt_count % 50}"
         return {"prompt": prompt, "max_tokens": max_tokens}
 
-    async def _receive(
+    async def _record_call(
         self,
         service: str,
         method: str,
@@ -135,8 +135,8 @@
         answer = error = None
         try:
             answer = await send()
-        except RequestError as failed:
-            error = failed
+        except RequestError as request_error:
+            error = request_error
         took_s = time.monotonic() - started_at_s
         self.receipts.calls.append(
             CallReceipt(service, method, body, idempotent, answer, error, took_s)
@@ -146,12 +146,12 @@
         clients = [self.new_client(session) for _zone in self._fleet.shape.zones]
         end_at_s = time.monotonic() + seconds
         while time.monotonic() < end_at_s and not self._stopping:
-            task = asyncio.create_task(self._call_something(self._rng.choice(clients)))
-            self._calls.add(task)
-            task.add_done_callback(self._calls.discard)
+            task = asyncio.create_task(self._call_random_method(self._rng.choice(clients)))
+            self._call_tasks.add(task)
+            task.add_done_callback(self._call_tasks.discard)
             await asyncio.sleep(self._rng.expovariate(CALLS_PER_S))
 
-    async def _call_something(self, client: CallerClient) -> None:
+    async def _call_random_method(self, client: CallerClient) -> None:
         shape = self._fleet.shape
         service, method, idempotent = self._rng.choice(
             [
@@ -162,12 +162,12 @@
         )
         await self.call(client, service, method, idempotent=idempotent)
 
-    async def _train(self, session: aiohttp.ClientSession) -> None:
+    async def _run_trainer(self, session: aiohttp.ClientSession) -> None:
         client = TrainerClient(
             session,
             "trainer-1",
             self._fleet.bootstrap,
-            self._name_version,
+            self._report_version,
             self._fleet.shape.zones[0],
             seed=self._rng.randrange(2**32),
         )
@@ -175,21 +175,21 @@
         publishing: set[asyncio.Task[None]] = set()
         while not self._stopping:
             number += 1
-            await self._step(client, number)
-            await asyncio.sleep(TRAIN_S)
-            self.receipts.trained_s += TRAIN_S
-            # Published while the next step is already being made, as trainers do.
+            await self._run_step(client, number)
+            await asyncio.sleep(TRAINING_TIME_S)
+            self.receipts.trained_s += TRAINING_TIME_S
+            # Trainers publish weights while the next step is already running.
             task = asyncio.create_task(self._publish_weights(session))
             publishing.add(task)
             task.add_done_callback(publishing.discard)
         await asyncio.gather(*publishing)
 
-    def _name_version(self) -> int:
-        """Return the trainer's version for a pull, and remember that it was named."""
+    def _report_version(self) -> int:
+        """Return the trainer's version for a pull and store it for the sample receipts."""
         self._pull_version = self.trainer_version
         return self._pull_version
 
-    async def _step(self, client: TrainerClient, number: int) -> None:
+    async def _run_step(self, client: TrainerClient, number: int) -> None:
         request = StepRequest(
             step_id=f"step-{number}",
             service=self._fleet.shape.engine_service,
@@ -205,14 +205,14 @@
             async with asyncio.timeout(STEP_TIMEOUT_S):
                 async for sample in client.run_step(request):
                     age_s = time.monotonic() - started_at_s
-                    self._keep_sample(request, sample, age_s)
+                    self._record_sample(request, sample, age_s)
         except (TimeoutError, RequestError):
             whole = False
         waited_s = time.monotonic() - started_at_s
         self.receipts.waited_s += waited_s
         self.receipts.steps.append(StepReceipt(request.step_id, request.size, waited_s, whole))
 
-    def _keep_sample(self, request: StepRequest, sample: Sample, age_s: float) -> None:
+    def _record_sample(self, request: StepRequest, sample: Sample, age_s: float) -> None:
         self.receipts.samples.append(
             SampleReceipt(
                 request.step_id,
@@ -226,7 +226,7 @@
         )
 
     async def _publish_weights(self, session: aiohttp.ClientSession) -> None:
-        await asyncio.sleep(self._rng.uniform(0.0, TRAIN_S))
+        await asyncio.sleep(self._rng.uniform(0.0, TRAINING_TIME_S))
         self.trainer_version += 1
         service = self._fleet.shape.engine_service
         url = f"{self._fleet.store.url}/v1/services/{service}/versions/{self.trainer_version}"
--- a/tests/trial/test_frozen_node.py
+++ b/tests/trial/test_frozen_node.py
@@ -1,4 +1,4 @@
-"""What a node must not do with a view of the world from before it stood still."""
+"""A node that resumes after a freeze must not act on outdated state."""
 
 import asyncio
 import time
@@ -11,8 +11,8 @@
 from samphirecleat.trial import DEPLOYMENTS, Fleet, until_ready
 
 WAIT_S = 15.0
-AFTER_LEAVING_S = 3.0
-CALLS_AFTER = 40
+LEAVING_GRACE_S = 3.0
+CALLS_AFTER_RESUME = 40
 
 
 def run_with_fleet(body: Callable[[Fleet, aiohttp.ClientSession], Awaitable[None]]) -> None:
@@ -30,7 +30,7 @@
 
 
 async def call(fleet: Fleet, session: aiohttp.ClientSession, address: str) -> ErrorKind | None:
-    """Make a call of the plain service and return how it failed, None if it did not."""
+    """Call the plain service and return the error kind, None on success."""
     url = f"http://{address}/v1/services/{fleet.shape.plain_service}/{fleet.shape.plain_once}"
     async with session.post(url, json={"prompt": "p"}) as response:
         body = await response.json()
@@ -38,10 +38,10 @@
 
 
 def test_a_node_that_stood_still_sends_nothing_to_a_target_that_left_meanwhile() -> None:
-    """A node stands still while a target says that it leaves, and goes on later.
+    """Targets report that they are leaving while a node is frozen.
 
-    The first requests after that meet a view of the targets from before. If one
-    of them went to the leaving target, its operator could not shut it down.
+    After the node resumes, its first requests are routed with outdated target state. A
+    request to a leaving target would prevent its operator from shutting it down.
     """
 
     async def body(fleet: Fleet, session: aiohttp.ClientSession) -> None:
@@ -50,9 +50,9 @@
         for server in fleet.plain[1:]:
             server.leave()
         left_at_s = time.monotonic()
-        while time.monotonic() < left_at_s + AFTER_LEAVING_S:
+        while time.monotonic() < left_at_s + LEAVING_GRACE_S:
             await asyncio.sleep(0.1)
-        # Before its controllers go on: what a process does first when it wakes up.
+        # A resumed process may handle requests before its controllers run again.
         failed = await call(fleet, session, node.settings.http_address)
         assert failed is ErrorKind.NO_TARGET
         node.thaw()
@@ -67,10 +67,10 @@
 
 
 def test_a_node_that_stood_still_learns_from_others_what_the_host_list_said() -> None:
-    """The host list says that an engine leaves while a node stands still, and then fails.
+    """The host list reports an engine as leaving while a node is frozen, and then fails.
 
-    The other nodes know, and the one that wakes up can not read the list. Its
-    operator sees it send work to the leaving engine until the list is back.
+    The resumed node cannot read the list. Unless it learns from its peers that the
+    engine is leaving, it sends requests there until the list is back.
     """
 
     async def body(fleet: Fleet, session: aiohttp.ClientSession) -> None:
@@ -83,16 +83,16 @@
             assert time.monotonic() < left_at_s + WAIT_S
             await asyncio.sleep(0.05)
         fleet.host_list.down = True
-        while time.monotonic() < left_at_s + AFTER_LEAVING_S:
+        while time.monotonic() < left_at_s + LEAVING_GRACE_S:
             await asyncio.sleep(0.05)
         node.thaw()
         url = f"http://{node.settings.http_address}/v1/services/{engine.service}/generate"
         answered = 0
-        while answered < CALLS_AFTER:
+        while answered < CALLS_AFTER_RESUME:
             prompt = {"prompt": f"p{answered}", "max_tokens": 1}
             async with session.post(url, json=prompt) as response:
                 answered += response.status == 200
             await asyncio.sleep(0.01)
-        assert [a for a in engine.arrivals if a.at_s > left_at_s + AFTER_LEAVING_S] == []
+        assert [a for a in engine.arrivals if a.at_s > left_at_s + LEAVING_GRACE_S] == []
 
     run_with_fleet(body)
--- a/tests/trial/test_kept_seeds.py
+++ b/tests/trial/test_kept_seeds.py
@@ -1,7 +1,7 @@
-"""Trials that once showed a fault, run again with the faults that brought it about.
+"""Regression trials: seeds and faults that once revealed a defect.
 
-Times are real, so that a seed draws the same faults but not the same interleaving;
-where it could be, the cause also has a test of its own.
+Trials run in real time, so a seed gives the same faults but not the same interleaving.
+Where possible, the cause also has a test of its own.
 """
 
 import json
@@ -15,17 +15,17 @@
 import pytest
 
 TIMEOUT_S = 150.0
-AT_ONCE = 3
-SECONDS = "8"
+MAX_CONCURRENT_TRIALS = 3
+LOAD_SECONDS = "8"
 
 
 class KeptSeed(NamedTuple):
-    """A trial to run again, and what it once showed."""
+    """A trial to repeat and the defect that it revealed."""
 
     deployment: str
     seed: int
     faults: str
-    showed: str
+    defect: str
 
 
 KEPT = (
@@ -33,43 +33,43 @@
         "los-aromos",
         49,
         "host_list_late,host_list_wrong,node_freeze,target_leaving",
-        "work sent to a target that left by a late host list while a node stood still",
+        "request sent to a target that a late host list reported as leaving during a freeze",
     ),
     KeptSeed(
         "los-aromos",
         3,
         "node_freeze,target_leaving,host_list_late,lease_pause",
-        "work sent to a leaving target by a node that had stood still",
+        "request sent to a leaving target by a node that resumed after a freeze",
     ),
     KeptSeed(
         "lavadero-norte",
         2,
         "all_nodes_replaced,log_outage,log_trim,node_drain,node_freeze",
-        "a step given up, refused as of an unknown service by a node without a text",
+        "a step abandoned after a node without a text rejected its service as unknown",
     ),
     KeptSeed(
         "los-aromos",
         5,
         "swap_fail,swap_pretend,engine_crash,store_outage,log_outage",
-        "weights stuck behind one engine whose loads kept failing",
+        "weight rollout blocked by one engine whose loads kept failing",
     ),
     KeptSeed(
         "lavadero-norte",
         26,
         "node_drain,node_kill,zone_loss,engine_silent,clients_leave",
-        "a node whose stop never returned",
+        "a node whose stop() never returned",
     ),
     KeptSeed(
         "lavadero-norte",
         14,
         "lease_pause,swap_fail,swap_pretend,node_freeze,log_outage",
-        "an order that was cut short and held up all swaps of its service",
+        "an interrupted order that blocked all weight swaps of its service",
     ),
     KeptSeed(
         "lavadero-norte",
         3,
         "request_ends_targets,node_kill,engine_crash",
-        "a request that ended 35 targets, since each sending had a bound of its own",
+        "a request that crashed 35 targets because each resend had a limit of its own",
     ),
 )
 
@@ -79,35 +79,35 @@
         "lavadero-norte",
         42,
         "all",
-        "one call to a target 3.24 s after it began to leave, cause not found",
+        "one call to a target 3.24 s after it was reported as leaving; cause unknown",
     ),
     KeptSeed(
         "los-aromos",
         49,
         "all",
-        "one call to a target 4.06 s after it began to leave, by a node that had stood still",
+        "one call to a target 4.06 s after it was reported as leaving, by a resumed node",
     ),
     KeptSeed(
         "los-aromos",
         3,
         "log_trim,node_freeze,node_kill,log_answer_lost,operator_race,log_outage,log_slow",
-        "a new node that kept the old text of a frozen peer after the log was trimmed",
+        "a new node that kept the outdated text of a frozen peer after the log was trimmed",
     ),
 )
-"""Listed in KNOWN-RED.txt; they fail in some runs only."""
+"""Trials listed in KNOWN-RED.txt, which fail intermittently."""
 
 
 @pytest.fixture(scope="module")
 def reports(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Mapping[KeptSeed, Future[Any]]]:
-    """Run the trials as processes, a few at once, and hand out their reports."""
+    """Run the trials as concurrent processes and return their pending reports."""
     directory = tmp_path_factory.mktemp("kept")
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(MAX_CONCURRENT_TRIALS) as pool:
         yield {kept: pool.submit(run_trial_process, kept, directory) for kept in KEPT}
 
 
 def run_trial_process(kept: KeptSeed, directory: Path) -> dict:
     report = directory / f"{kept.deployment}-{kept.seed}-{len(kept.faults)}.json"
-    command = [sys.executable, "-m", "samphirecleat", "try", "--seconds", SECONDS]
+    command = [sys.executable, "-m", "samphirecleat", "try", "--seconds", LOAD_SECONDS]
     command += ["--seed", str(kept.seed), "--deployment", kept.deployment]
     command += ["--faults", kept.faults, "--report", str(report)]
     ended = subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT_S)
--- a/tests/trial/test_platform_faults.py
+++ b/tests/trial/test_platform_faults.py
@@ -1,4 +1,4 @@
-"""The faults of the platform's services bring about only what the platform may do."""
+"""Injected platform faults stay within what the real platform can do."""
 
 import asyncio
 
@@ -7,10 +7,10 @@
 
 
 def test_a_record_between_two_outages_is_not_dropped_unread() -> None:
-    """The log takes a text for a moment between two outages, and is asked to drop old records.
+    """The log appends a text between two outages and is then asked to trim old records.
 
-    A log keeps records for a limited time, but for longer than a reader needs. Dropped before
-    anybody could read it, the text would be accepted and in force nowhere.
+    The real log retains records for longer than a reader needs. If the text were dropped
+    before anybody could read it, it would be accepted without coming into force anywhere.
     """
     log = StandInLog()
 
--- a/tests/trial/test_replaced_node.py
+++ b/tests/trial/test_replaced_node.py
@@ -1,4 +1,4 @@
-"""What a process must not say that has just replaced another at its address."""
+"""Responses of a node that has just replaced another at the same address."""
 
 import asyncio
 
@@ -9,10 +9,11 @@
 
 
 def test_a_step_is_not_refused_for_good_by_a_node_that_holds_no_text_yet() -> None:
-    """A host is replaced at its old address while the log is down.
+    """A node is replaced at its old address while the log is down.
 
-    A trainer that still keeps the old entry list submits its step there. Told that
-    the service is unknown, it would give the step up; it must go elsewhere.
+    A trainer with the old entry list submits its step to the new node. If the node
+    answered that the service is unknown, the trainer would abandon the step instead of
+    trying another node.
     """
 
     async def run() -> ErrorKind:
--- a/tests/trial/test_trial_checks.py
+++ b/tests/trial/test_trial_checks.py
@@ -1,4 +1,4 @@
-"""The trial's own checks: each must see the break that it is there for."""
+"""Each check of a trial detects the violation that it is meant to find."""
 
 import math
 from types import SimpleNamespace
@@ -7,9 +7,9 @@
 
 from samphirecleat.standins import LogAppend, StandInPlainService
 from samphirecleat.standins._plain import PlainRun
-from samphirecleat.trial._checks import _check_ends
+from samphirecleat.trial._checks import _check_crashes
 from samphirecleat.trial._config_checks import check_late, check_reverted, fold_ledger
-from samphirecleat.trial._records import ConfigSight, Interval, NodeLifetime
+from samphirecleat.trial._records import ConfigObservation, Interval, NodeLifetime
 
 
 def publication(offset: int, base: int, text: str, at_s: float) -> LogAppend:
@@ -40,11 +40,11 @@
     ],
 )
 def test_a_node_that_reverts_is_seen(sights: list[tuple[int, str]], broken: int) -> None:
-    """A node goes back to an older text, or takes one that was never accepted.
+    """A node returns to an older text or applies one that was never accepted.
 
-    Its operator sees callers served by a text that was replaced.
+    Callers would then be served by a text that has been replaced.
     """
-    seen = [ConfigSight("i", float(n), rev, text) for n, (rev, text) in enumerate(sights)]
+    seen = [ConfigObservation("i", float(n), rev, text) for n, (rev, text) in enumerate(sights)]
     assert check_reverted(LEDGER, seen).broken == broken
 
 
@@ -66,15 +66,18 @@
     broken: int,
     checked: int,
 ) -> None:
-    """A node takes longer than 4 s to follow an accepted text.
+    """A node takes longer than 4 s to apply an accepted text.
 
-    Until then its callers are served by the old one. The time does not run while
-    the log can not be read or the node stands still.
+    Its callers are served by the old text until then. The deadline is extended while
+    the log cannot be read or the node is frozen.
     """
     lifetime = NodeLifetime("n1", "i", "127.0.0.1:1", started_at_s=9.0, frozen=frozen)
-    sights = [ConfigSight("i", 9.5, 0, "first"), ConfigSight("i", in_force_at_s, 1, "second")]
+    sights = [
+        ConfigObservation("i", 9.5, 0, "first"),
+        ConfigObservation("i", in_force_at_s, 1, "second"),
+    ]
     ledger = [publication(1, -1, "second", at_s=10.0)]
-    verdict = check_late(ledger, sights, [lifetime], outages, seen_until_s=40.0)
+    verdict = check_late(ledger, sights, [lifetime], outages, observed_until_s=40.0)
     assert (verdict.broken, verdict.checked) == (broken, checked)
 
 
@@ -94,5 +97,5 @@
     server = StandInPlainService("svc", "z")
     server.runs = [PlainRun("r", "m", "p", at_s) for at_s in runs_s]
     server.ends = [PlainRun("r", "m", "p", at_s) for at_s in ends_s]
-    verdict = _check_ends(SimpleNamespace(plain=[server]))  # type: ignore[arg-type]
+    verdict = _check_crashes(SimpleNamespace(plain=[server]))  # type: ignore[arg-type]
     assert (verdict.broken, verdict.checked) == (broken, 1)
