--- a/tests/trial/test_platform_faults.py
+++ b/tests/trial/test_platform_faults.py
@@ -6,7 +6,7 @@
 from samphirecleat.trial import _platform_faults as faults
 
 
-def test_a_record_between_two_outages_is_not_dropped_unread() -> None:
+def test_record_between_two_outages_is_not_trimmed_before_it_can_be_read() -> None:
     """The log appends a text between two outages and is then asked to trim old records.
 
     The real log retains records for longer than a reader needs. If the text were dropped
--- a/tests/trial/test_replaced_node.py
+++ b/tests/trial/test_replaced_node.py
@@ -8,7 +8,7 @@
 from samphirecleat.trial import DEPLOYMENTS, Fleet
 
 
-def test_a_step_is_not_refused_for_good_by_a_node_that_holds_no_text_yet() -> None:
+def test_node_without_text_rejects_step_as_not_ready() -> None:
     """A node is replaced at its old address while the log is down.
 
     A trainer with the old entry list submits its step to the new node. If the node
--- a/tests/trial/test_trial_checks.py
+++ b/tests/trial/test_trial_checks.py
@@ -26,7 +26,7 @@
 ]
 
 
-def test_the_ledger_accepts_only_valid_texts_on_the_base_in_force() -> None:
+def test_fold_accepts_only_valid_texts_on_base_in_force() -> None:
     assert [accepted.revision for accepted in fold_ledger(LEDGER)] == [0, 1, 4]
 
 
@@ -39,7 +39,7 @@
         ([(1, "first")], 1),
     ],
 )
-def test_a_node_that_reverts_is_seen(sights: list[tuple[int, str]], broken: int) -> None:
+def test_reverted_config_is_detected(sights: list[tuple[int, str]], broken: int) -> None:
     """A node returns to an older text or applies one that was never accepted.
 
     Callers would then be served by a text that has been replaced.
@@ -59,7 +59,7 @@
         (99.0, [], [Interval(11.0, math.inf)], 0, 0),
     ],
 )
-def test_a_node_that_is_late_is_seen(
+def test_late_config_is_detected(
     in_force_at_s: float,
     outages: list[Interval],
     frozen: list[Interval],
@@ -91,7 +91,7 @@
     ],
     ids=["three more", "before all could know", "four more", "two ends"],
 )
-def test_a_request_that_is_sent_on_after_it_ended_three_targets_is_seen(
+def test_request_sent_on_after_crashing_three_targets_is_detected(
     runs_s: list[float], ends_s: list[float], broken: int
 ) -> None:
     server = StandInPlainService("svc", "z")
--- a/tests/trial/test_trial_command.py
+++ b/tests/trial/test_trial_command.py
@@ -18,19 +18,19 @@
     assert select_faults(names) == selected
 
 
-def test_an_unknown_fault_is_refused_with_the_names_that_exist() -> None:
+def test_unknown_fault_error_lists_known_names() -> None:
     with pytest.raises(UnknownFaultError, match=r"no_such.*node_kill"):
         select_faults("node_kill,no_such")
 
 
-def test_every_fault_says_what_it_is() -> None:
+def test_every_fault_has_description() -> None:
     assert all(fault.description for fault in FAULTS.values())
 
 
 @pytest.mark.parametrize(
     "options", [{"faults": "no_such"}, {"deployment": "nowhere"}, {"nodes": 1}]
 )
-def test_wrong_options_end_with_exit_code_2(options: dict) -> None:
+def test_invalid_options_exit_with_code_2(options: dict) -> None:
     with pytest.raises(SystemExit) as ended:
         try_command(**options)
     assert ended.value.code == 2
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools for developers; not part of the package."""
+"""Developer tools, not part of the installed package."""
--- a/tools/node_cost.py
+++ b/tools/node_cost.py
@@ -1,8 +1,8 @@
-"""What one node's own process costs: memory, and processor time by kind of work.
+"""Measures the memory and the CPU time per kind of work of one node process.
 
-Run it as ``python -m tools.node_cost``. Two node daemons run as
-processes of their own; the stand-ins and the load run in this one. Processor time
-is read from /proc before and after each phase, less what the node takes when idle.
+Run as ``python -m tools.node_cost``. Two node daemons run as processes of their own;
+the stand-ins and the load run in this process. CPU time is read from /proc before
+and after each phase, minus the CPU time of an idle node.
 """
 
 import asyncio
@@ -27,29 +27,29 @@
 
 TICKS_PER_S: Final = os.sysconf("SC_CLK_TCK")
 IDLE_S: Final = 8.0
-REQUESTS: Final = 400
-AT_ONCE: Final = 8
-TOKENS: Final = 8
-STREAM_TOKENS: Final = 200
-STREAMS: Final = 40
-READY_LIMIT_S: Final = 20.0
+REQUEST_COUNT: Final = 400
+MAX_CONCURRENT_REQUESTS: Final = 8
+TOKENS_PER_REQUEST: Final = 8
+TOKENS_PER_STREAM: Final = 200
+STREAM_COUNT: Final = 40
+READY_TIMEOUT_S: Final = 20.0
 SETTLE_S: Final = 3.0
 WATCH_PERIODS_S: Final = (0.5, 0.2, 0.1)
 
 
 class Daemon(NamedTuple):
-    """A node daemon that runs as a process."""
+    """A node daemon running as a subprocess."""
 
     process: asyncio.subprocess.Process
     http_address: str
 
     def cpu_s(self) -> float:
-        """Return the processor time that the process has used."""
+        """Return the CPU time used by the process so far."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rsplit(") ", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
     def memory_mb(self, name: str) -> float:
-        """Return a figure of /proc/PID/status in MB."""
+        """Return a field of /proc/PID/status in MB, 0.0 if it is missing."""
         for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines():
             if line.startswith(name):
                 return int(line.split()[1]) / 1024.0
@@ -57,45 +57,45 @@
 
 
 class Meter:
-    """Measures phases and subtracts what the node takes while idle."""
+    """Measures the CPU time of phases, minus the idle CPU time of the node."""
 
     def __init__(self, daemon: Daemon) -> None:
-        """Measure one daemon."""
+        """Create a meter of one daemon."""
         self._daemon = daemon
         self.idle_share = 0.0
         self.rows: list[tuple[str, float, str]] = []
 
     async def idle(self) -> None:
-        """Measure the node at rest."""
-        cpu_s, began_s = self._daemon.cpu_s(), time.monotonic()
+        """Measure the idle node for ``IDLE_S``; later phases subtract its CPU time."""
+        cpu_s, started_at_s = self._daemon.cpu_s(), time.monotonic()
         await asyncio.sleep(IDLE_S)
-        self.idle_share = (self._daemon.cpu_s() - cpu_s) / (time.monotonic() - began_s)
+        self.idle_share = (self._daemon.cpu_s() - cpu_s) / (time.monotonic() - started_at_s)
         self.rows.append(("idle, share of a core in %", self.idle_share * 100.0, ""))
 
     async def phase(self, name: str, units: int, work: Awaitable[object]) -> None:
-        """Measure the processor time of ``work`` for each of its ``units``."""
-        cpu_s, began_s = self._daemon.cpu_s(), time.monotonic()
+        """Measure the CPU time of ``work`` in ms per unit."""
+        cpu_s, started_at_s = self._daemon.cpu_s(), time.monotonic()
         await work
-        took_s = time.monotonic() - began_s
+        took_s = time.monotonic() - started_at_s
         used_s = self._daemon.cpu_s() - cpu_s - self.idle_share * took_s
         self.rows.append((name, used_s / units * 1000.0, f"{units} in {took_s:.1f} s"))
 
     def memory(self, name: str) -> None:
-        """Note the node's memory now."""
+        """Record the current memory use of the node."""
         anonymous = self._daemon.memory_mb("RssAnon")
         self.rows.append(
             (name, self._daemon.memory_mb("VmRSS"), f"of it its own: {anonymous:.1f} MB")
         )
 
 
-async def _run() -> None:
+async def _main() -> None:
     fleet = Fleet(DEPLOYMENTS["los-aromos"], 0, 1)
     await fleet.start()
     with tempfile.TemporaryDirectory() as directory:
         daemons = [await _start_daemon(fleet, directory, f"n{number}") for number in (1, 2)]
         async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
             try:
-                await _until_ready(session, daemons)
+                await _wait_until_ready(session, daemons)
                 rows = await _measure(session, daemons)
             finally:
                 for daemon in daemons:
@@ -107,13 +107,13 @@
 
 
 async def _measure_polls(fleet: Fleet) -> list[Any]:
-    """Return what one question to a target costs: the slope over two rates."""
+    """Return the CPU time per poll of a target, from a line fitted over poll rates."""
     points = []
     for watch_s in WATCH_PERIODS_S:
         with tempfile.TemporaryDirectory() as directory:
             daemon = await _start_daemon(fleet, directory, "n9", watch_s)
             async with aiohttp.ClientSession() as session:
-                await _until_ready(session, [daemon])
+                await _wait_until_ready(session, [daemon])
             await asyncio.sleep(SETTLE_S)
             meter = Meter(daemon)
             await meter.idle()
@@ -121,9 +121,9 @@
             daemon.process.kill()
             await daemon.process.wait()
     line = fit_line(points)
-    at = ", ".join(f"{cpu_ms:.1f} ms/s at {rate:.0f} polls/s" for rate, cpu_ms in points)
+    points_text = ", ".join(f"{cpu_ms:.1f} ms/s at {rate:.0f} polls/s" for rate, cpu_ms in points)
     return [
-        ("ms per poll of a target", line.per_unit, at),
+        ("ms per poll of a target", line.per_unit, points_text),
         ("alone, no polls, ms/s", line.fixed, ""),
     ]
 
@@ -133,19 +133,29 @@
     meter = Meter(entry)
     await meter.idle()
     meter.memory("memory at rest, MB")
-    unit = f"ms per request of {TOKENS} tokens"
-    await meter.phase(unit, REQUESTS, _many(REQUESTS, lambda: _call(session, entry, "", TOKENS)))
+    unit = f"ms per request of {TOKENS_PER_REQUEST} tokens"
+    await meter.phase(
+        unit,
+        REQUEST_COUNT,
+        _run_concurrently(REQUEST_COUNT, lambda: _call(session, entry, "", TOKENS_PER_REQUEST)),
+    )
     incarnation = await _incarnation(session, owner)
 
     def forwarded() -> Awaitable[None]:
         key = f"n2.{incarnation}.0.{secrets.token_hex(8)}"
-        return _call(session, entry, key, TOKENS)
+        return _call(session, entry, key, TOKENS_PER_REQUEST)
 
-    await meter.phase("ms per request passed on", REQUESTS, _many(REQUESTS, forwarded))
-    tokens = STREAMS * STREAM_TOKENS
-    work = _many(STREAMS, lambda: _call(session, entry, "", STREAM_TOKENS, stream=True))
+    await meter.phase(
+        "ms per request passed on", REQUEST_COUNT, _run_concurrently(REQUEST_COUNT, forwarded)
+    )
+    tokens = STREAM_COUNT * TOKENS_PER_STREAM
+    work = _run_concurrently(
+        STREAM_COUNT, lambda: _call(session, entry, "", TOKENS_PER_STREAM, stream=True)
+    )
     await meter.phase("ms per token streamed", tokens, work)
-    step = StepRequest("s1", "asesor", [f"p{n}" for n in range(32)], 4, TOKENS, 1000, "")
+    step = StepRequest(
+        "s1", "asesor", [f"p{n}" for n in range(32)], 4, TOKENS_PER_REQUEST, 1000, ""
+    )
     trainer = TrainerClient(session, "trainer-1", [entry.http_address], lambda: 0, seed=1)
     await meter.phase("ms per sample of a step", step.size, _run_step(trainer, step))
     meter.memory("memory after this, MB")
@@ -167,14 +177,14 @@
         await response.read()
 
 
-async def _many(count: int, call: Callable[[], Awaitable[None]]) -> None:
-    turns = asyncio.Semaphore(AT_ONCE)
+async def _run_concurrently(count: int, call: Callable[[], Awaitable[None]]) -> None:
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
 
-    async def one() -> None:
-        async with turns:
+    async def run_one() -> None:
+        async with semaphore:
             await call()
 
-    await asyncio.gather(*(one() for _number in range(count)))
+    await asyncio.gather(*(run_one() for _number in range(count)))
 
 
 async def _incarnation(session: aiohttp.ClientSession, daemon: Daemon) -> str:
@@ -188,8 +198,8 @@
         return answer
 
 
-async def _until_ready(session: aiohttp.ClientSession, daemons: list[Daemon]) -> None:
-    give_up_at_s = time.monotonic() + READY_LIMIT_S
+async def _wait_until_ready(session: aiohttp.ClientSession, daemons: list[Daemon]) -> None:
+    give_up_at_s = time.monotonic() + READY_TIMEOUT_S
     while time.monotonic() < give_up_at_s:
         try:
             entries = [await _get(session, daemon, "/v1/entries") for daemon in daemons]
@@ -213,7 +223,7 @@
         "log_url": fleet.log.url,
         "weight_store_url": fleet.store.url,
         "host_list_url": fleet.host_list.url,
-        "seeds": _seeds(directory),
+        "seeds": _read_seeds(directory),
         "log_level": "warning",
         "timings": {"watch_s": watch_s},
     }
@@ -231,10 +241,10 @@
     return str(path)
 
 
-def _seeds(directory: str) -> list[str]:
+def _read_seeds(directory: str) -> list[str]:
     path = Path(directory, "seeds")
     return [path.read_text()] if path.exists() else []
 
 
 if __name__ == "__main__":
-    uvloop.run(_run())
+    uvloop.run(_main())
--- a/tools/plots.py
+++ b/tools/plots.py
@@ -1,6 +1,6 @@
-"""Draws the charts of docs/MEASUREMENTS.md from the benches' JSON.
+"""Draws the charts of docs/MEASUREMENTS.md from the JSON results of benches.
 
-Run from the root, after each bench wrote its result::
+Run from the repository root after writing the result of each bench::
 
     python -m samphirecleat bench weights --json > docs/measurements/weights.json
     python -m tools.plots docs/measurements
@@ -30,7 +30,7 @@
 
 
 def main(directory: str) -> None:
-    """Draw a chart beside each result in ``directory`` that has one."""
+    """Write a PNG chart next to each bench result in ``directory`` that is plotted."""
     folder = Path(directory)
     for name, figures in BAR_CHARTS.items():
         path = folder / f"{name}.json"
@@ -38,25 +38,25 @@
             draw_bars(json.loads(path.read_text()), figures, folder / f"{name}.png")
     weights = folder / "weights.json"
     if weights.exists():
-        draw_trade(json.loads(weights.read_text()), folder / "weights.png")
+        draw_tradeoff(json.loads(weights.read_text()), folder / "weights.png")
 
 
 def draw_bars(result: dict[str, Any], figures: Sequence[str], path: Path) -> None:
-    """Draw a group of bars for each figure, a bar for each variant."""
+    """Draw a group of bars per figure with one bar per variant."""
     axes = plt.figure(figsize=(8, 3.5)).add_subplot()
     rows = result["rows"]
     width = 0.8 / len(rows)
     for number, row in enumerate(rows):
-        places = [index + number * width for index in range(len(figures))]
-        axes.bar(places, [row["figures"][name] for name in figures], width, label=row["variant"])
+        positions = [index + number * width for index in range(len(figures))]
+        axes.bar(positions, [row["figures"][name] for name in figures], width, label=row["variant"])
     axes.set_xticks([index + 0.4 - width / 2 for index in range(len(figures))], figures)
     axes.set_title(f"bench {result['name']}, seed {result['seed']}")
     axes.legend(fontsize="small")
     _save(path)
 
 
-def draw_trade(result: dict[str, Any], path: Path) -> None:
-    """Draw trainer idle time against staleness, a point for each variant."""
+def draw_tradeoff(result: dict[str, Any], path: Path) -> None:
+    """Plot mean staleness against trainer idle ratio, one point per variant."""
     axes = plt.figure(figsize=(6, 4)).add_subplot()
     for row in result["rows"]:
         x, y = row["figures"][WEIGHTS_X], row["figures"][WEIGHTS_Y]
