--- a/samphirecleat/explain/_command.py
+++ b/samphirecleat/explain/_command.py
@@ -118,7 +118,7 @@
     ]
     if not rows:
         return ""
-    headers = ["request ends targets", "ends", "the first, and who saw them", "barred_s"]
+    headers = ["request ends targets", "ends", "first ends, by observing node", "barred_s"]
     headers += ["held", "refused", "last id", "oldest evidence_s", "cleared_s"]
     return tabulate(rows, headers=headers, disable_numparse=True)
 
@@ -129,6 +129,6 @@
     if unknown:
         messages.append(f"{unknown} steps were accepted before these logs begin and are left out.")
     if reading.malformed:
-        messages.append(f"{reading.malformed} lines are no lines of a node's log, the first:")
+        messages.append(f"{reading.malformed} malformed log lines, the first:")
         messages.extend(f"  {fault}" for fault in reading.faults)
     return "\n".join(messages)
--- a/samphirecleat/explain/_lines.py
+++ b/samphirecleat/explain/_lines.py
@@ -58,7 +58,7 @@
         return "no JSON object"
     time_s, node, message = (fields.get(name) for name in ("time_s", "logger", "message"))
     if isinstance(time_s, bool) or not isinstance(time_s, int | float):
-        return "time_s is missing or no number"
+        return "time_s is missing or not a number"
     if not isinstance(node, str) or not isinstance(message, str):
-        return "logger or message is missing or no text"
+        return "logger or message is missing or not a string"
     return LogLine(float(time_s), node.rpartition(".")[2], message)
--- a/samphirecleat/trial/_config_checks.py
+++ b/samphirecleat/trial/_config_checks.py
@@ -23,7 +23,7 @@
     at_s: float
 
 
-def fold_ledger(appends: Sequence[LogAppend]) -> Sequence[AcceptedPublication]:
+def fold_publications(appends: Sequence[LogAppend]) -> Sequence[AcceptedPublication]:
     """Return the accepted publications of a log, oldest first."""
     accepted: list[AcceptedPublication] = []
     revision = -1
@@ -42,7 +42,7 @@
     appends: Sequence[LogAppend], observations: Sequence[ConfigObservation]
 ) -> Verdict:
     """Count changes of a node to a lower revision or to a text that was not accepted."""
-    texts = {accepted.revision: accepted.text for accepted in fold_ledger(appends)}
+    texts = {accepted.revision: accepted.text for accepted in fold_publications(appends)}
     highest: dict[str, int] = {}
     broken: list[ConfigObservation] = []
     in_force = [observation for observation in observations if observation.revision >= 0]
@@ -72,7 +72,7 @@
     by_incarnation = _group_by_incarnation(observations)
     broken: list[str] = []
     checked = 0
-    for accepted in fold_ledger(appends):
+    for accepted in fold_publications(appends):
         for lifetime in node_lifetimes:
             due_at_s = _due_at_s(accepted.at_s, lifetime, log_outages)
             if min(lifetime.ended_at_s, observed_until_s) <= due_at_s:
@@ -94,7 +94,7 @@
     """Return the longest time from acceptance until a running node had the text in force."""
     by_incarnation = _group_by_incarnation(observations)
     slowest_s = 0.0
-    for accepted in fold_ledger(appends):
+    for accepted in fold_publications(appends):
         for lifetime in node_lifetimes:
             if lifetime.started_at_s > accepted.at_s:
                 continue
--- a/samphirecleat/trial/_fleet_monitor.py
+++ b/samphirecleat/trial/_fleet_monitor.py
@@ -7,20 +7,16 @@
 from ._fleet import Fleet
 from ._records import ConfigObservation
 
-OBSERVATION_PERIOD_S: Final = 0.05
+PERIOD_S: Final = 0.05
 
 
 class FleetMonitor:
-    """Records the text each node has in force, and when all engines have a version.
-
-    ``fully_deployed_at_s`` holds, by version, when all serving engines first had it or
-    a newer one. Times are on the monotonic clock.
-    """
+    """Records which text each node has in force, and when weights are on all engines."""
 
     def __init__(self, fleet: Fleet) -> None:
         """Create a monitor of ``fleet``."""
         self._fleet = fleet
-        self._last_seen: dict[str, tuple[int, str]] = {}
+        self._last: dict[str, tuple[int, str]] = {}
         self.config_observations: list[ConfigObservation] = []
         self.fully_deployed_at_s: dict[int, float] = {}
         self.observed_until_s = 0.0
@@ -32,15 +28,15 @@
             self._observe_nodes(now_s)
             self._observe_engines(now_s)
             self.observed_until_s = now_s
-            await asyncio.sleep(OBSERVATION_PERIOD_S)
+            await asyncio.sleep(PERIOD_S)
 
     def _observe_nodes(self, now_s: float) -> None:
         for node in self._fleet.nodes:
             config = node.board.config
             incarnation = node.board.identity.incarnation
             seen = (config.revision, config.text)
-            if self._last_seen.get(incarnation) != seen:
-                self._last_seen[incarnation] = seen
+            if self._last.get(incarnation) != seen:
+                self._last[incarnation] = seen
                 self.config_observations.append(ConfigObservation(incarnation, now_s, *seen))
 
     def _observe_engines(self, now_s: float) -> None:
@@ -48,6 +44,6 @@
         serving = [e for e in fleet.engines if e.listening and fleet.leaving_since_s(e) is None]
         if not serving:
             return
-        lowest_version = min(engine.version for engine in serving)
-        for version in range(1, lowest_version + 1):
+        lowest = min(engine.version for engine in serving)
+        for version in range(1, lowest + 1):
             self.fully_deployed_at_s.setdefault(version, now_s)
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -143,9 +143,9 @@
     [
         ("plain words", "no JSON object"),
         ('{"time_s": 1.0, "logg', "not JSON"),
-        ('{"time_s": "1", "logger": "a", "message": "b"}', "time_s is missing or no number"),
-        ('{"time_s": true, "logger": "a", "message": "b"}', "time_s is missing or no number"),
-        ('{"time_s": 1.0, "message": "b"}', "logger or message is missing or no text"),
+        ('{"time_s": "1", "logger": "a", "message": "b"}', "time_s is missing or not a number"),
+        ('{"time_s": true, "logger": "a", "message": "b"}', "time_s is missing or not a number"),
+        ('{"time_s": 1.0, "message": "b"}', "logger or message is missing or not a string"),
     ],
 )
 def test_malformed_line_is_reported_and_skipped(raw: str, fault: str) -> None:
@@ -153,9 +153,7 @@
     assert len(reading.lines) == 2
     assert reading.malformed == 1
     assert reading.faults[0].startswith(f"a.log:2: {fault}")
-    assert f"1 lines are no lines of a node's log, the first:\n  a.log:2: {fault}" in render(
-        reading
-    )
+    assert f"1 malformed log lines, the first:\n  a.log:2: {fault}" in render(reading)
 
 
 def test_lines_of_several_nodes_are_sorted_and_prefixes_skipped() -> None:
--- a/tests/trial/test_trial_checks.py
+++ b/tests/trial/test_trial_checks.py
@@ -8,7 +8,7 @@
 from samphirecleat.standins import LogAppend, StandInPlainService
 from samphirecleat.standins._plain import PlainRun
 from samphirecleat.trial._checks import _check_crashes
-from samphirecleat.trial._config_checks import check_late, check_reverted, fold_ledger
+from samphirecleat.trial._config_checks import check_late, check_reverted, fold_publications
 from samphirecleat.trial._records import ConfigObservation, Interval, NodeLifetime
 
 
@@ -27,7 +27,7 @@
 
 
 def test_fold_accepts_only_valid_texts_on_base_in_force() -> None:
-    assert [accepted.revision for accepted in fold_ledger(LEDGER)] == [0, 1, 4]
+    assert [accepted.revision for accepted in fold_publications(LEDGER)] == [0, 1, 4]
 
 
 @pytest.mark.parametrize(
