--- a/tests/trial/test_trial_checks.py
+++ b/tests/trial/test_trial_checks.py
@@ -1,4 +1,4 @@
-"""The trial's own checks: each must see the break that it is there for."""
+"""Each check of a trial detects the violation that it is meant to find."""
 
 import math
 from types import SimpleNamespace
@@ -7,9 +7,9 @@
 
 from samphirecleat.standins import LogAppend, StandInPlainService
 from samphirecleat.standins._plain import PlainRun
-from samphirecleat.trial._checks import _check_ends
-from samphirecleat.trial._config_checks import check_late, check_reverted, fold_ledger
-from samphirecleat.trial._records import ConfigSight, Interval, Tenure
+from samphirecleat.trial._checks import _check_crashes
+from samphirecleat.trial._config_checks import check_late, check_reverted, fold_publications
+from samphirecleat.trial._records import ConfigObservation, Interval, NodeLifetime
 
 
 def publication(offset: int, base: int, text: str, at_s: float) -> LogAppend:
@@ -26,8 +26,8 @@
 ]
 
 
-def test_the_ledger_accepts_only_valid_texts_on_the_base_in_force() -> None:
-    assert [accepted.revision for accepted in fold_ledger(LEDGER)] == [0, 1, 4]
+def test_fold_accepts_only_valid_texts_on_base_in_force() -> None:
+    assert [accepted.revision for accepted in fold_publications(LEDGER)] == [0, 1, 4]
 
 
 @pytest.mark.parametrize(
@@ -39,12 +39,12 @@
         ([(1, "first")], 1),
     ],
 )
-def test_a_node_that_reverts_is_seen(sights: list[tuple[int, str]], broken: int) -> None:
-    """A node goes back to an older text, or takes one that was never accepted.
+def test_reverted_config_is_detected(sights: list[tuple[int, str]], broken: int) -> None:
+    """A node returns to an older text or applies one that was never accepted.
 
-    Its operator sees callers served by a text that was replaced.
+    Callers would then be served by a text that has been replaced.
     """
-    seen = [ConfigSight("i", float(n), rev, text) for n, (rev, text) in enumerate(sights)]
+    seen = [ConfigObservation("i", float(n), rev, text) for n, (rev, text) in enumerate(sights)]
     assert check_reverted(LEDGER, seen).broken == broken
 
 
@@ -59,22 +59,25 @@
         (99.0, [], [Interval(11.0, math.inf)], 0, 0),
     ],
 )
-def test_a_node_that_is_late_is_seen(
+def test_late_config_is_detected(
     in_force_at_s: float,
     outages: list[Interval],
     frozen: list[Interval],
     broken: int,
     checked: int,
 ) -> None:
-    """A node takes longer than 4 s to follow an accepted text.
+    """A node takes longer than 4 s to apply an accepted text.
 
-    Until then its callers are served by the old one. The time does not run while
-    the log can not be read or the node stands still.
+    Its callers are served by the old text until then. The deadline is extended while
+    the log cannot be read or the node is frozen.
     """
-    tenure = Tenure("n1", "i", "127.0.0.1:1", started_at_s=9.0, frozen=frozen)
-    sights = [ConfigSight("i", 9.5, 0, "first"), ConfigSight("i", in_force_at_s, 1, "second")]
+    lifetime = NodeLifetime("n1", "i", "127.0.0.1:1", started_at_s=9.0, frozen=frozen)
+    sights = [
+        ConfigObservation("i", 9.5, 0, "first"),
+        ConfigObservation("i", in_force_at_s, 1, "second"),
+    ]
     ledger = [publication(1, -1, "second", at_s=10.0)]
-    verdict = check_late(ledger, sights, [tenure], outages, seen_until_s=40.0)
+    verdict = check_late(ledger, sights, [lifetime], outages, observed_until_s=40.0)
     assert (verdict.broken, verdict.checked) == (broken, checked)
 
 
@@ -88,11 +91,11 @@
     ],
     ids=["three more", "before all could know", "four more", "two ends"],
 )
-def test_a_request_that_is_sent_on_after_it_ended_three_targets_is_seen(
+def test_request_sent_on_after_crashing_three_targets_is_detected(
     runs_s: list[float], ends_s: list[float], broken: int
 ) -> None:
     server = StandInPlainService("svc", "z")
     server.runs = [PlainRun("r", "m", "p", at_s) for at_s in runs_s]
     server.ends = [PlainRun("r", "m", "p", at_s) for at_s in ends_s]
-    verdict = _check_ends(SimpleNamespace(plain=[server]))  # type: ignore[arg-type]
+    verdict = _check_crashes(SimpleNamespace(plain=[server]))  # type: ignore[arg-type]
     assert (verdict.broken, verdict.checked) == (broken, 1)
