--- a/samphirecleat/bench/_usage.py
+++ b/samphirecleat/bench/_usage.py
@@ -11,8 +11,8 @@
 from heapq import heappop, heappush
 from typing import Final, NamedTuple
 
-from ..usage import CountsAdded, write_gap_s
-from ..usage._counter import SHORTEST_GAP_S
+from ..usage import CountsAdded, write_interval_s
+from ..usage._counter import MIN_WRITE_INTERVAL_S
 from ..usage._records import entry_of
 from ._harness import BenchResult, BenchRow, average_runs
 
@@ -55,11 +55,11 @@
 
 
 def _as_rate_allows(nodes: int, at_s: float, last_s: float) -> float:
-    return max(at_s + SHORTEST_GAP_S, last_s + write_gap_s(nodes))
+    return max(at_s + MIN_WRITE_INTERVAL_S, last_s + write_interval_s(nodes))
 
 
 def _after_a_pause(nodes: int, at_s: float, _last_s: float) -> float:
-    return at_s + write_gap_s(nodes)
+    return at_s + write_interval_s(nodes)
 
 
 def _at_window_end(_nodes: int, at_s: float, _last_s: float) -> float:
--- a/samphirecleat/controllers/configuration/_config_reader.py
+++ b/samphirecleat/controllers/configuration/_config_reader.py
@@ -15,7 +15,7 @@
 )
 from ...observe import Observer
 from ...peers import rank_members
-from ...platform import Log, LogUnavailableError, ReadPatience
+from ...platform import AdaptiveReadTimeout, Log, LogUnavailableError
 from ._config_restate import (
     RecordedState,
     Restate,
@@ -56,7 +56,7 @@
         self._rng = rng
         self._wait_s = wait_s
         self._retention_s = retention_s
-        self._patience = ReadPatience()
+        self._read_timeout = AdaptiveReadTimeout()
         self._recorded_state = RecordedState()
         self._jitter = rng.random()
         self._long_polls = True
@@ -142,7 +142,7 @@
         from_offset = state.folded_to + 1
         sent_at_s = asyncio.get_running_loop().time()
         wait_s = self._wait_s if self._long_polls else 0.0
-        batch = await self._patience.read(self._log, CONFIG_STREAM, from_offset, wait_s)
+        batch = await self._read_timeout.read(self._log, CONFIG_STREAM, from_offset, wait_s)
         self.reads_log = True
         if batch.next_offset < from_offset:
             # The stream is shorter than what was already read, so the log was
--- a/samphirecleat/controllers/weights/_leases.py
+++ b/samphirecleat/controllers/weights/_leases.py
@@ -18,7 +18,7 @@
 from ...config import LogRecord, ServiceKind
 from ...observe import Observer
 from ...peers import rank_members
-from ...platform import AppendOutcome, Log, LogUnavailableError, ReadPatience
+from ...platform import AdaptiveReadTimeout, AppendOutcome, Log, LogUnavailableError
 from ._lease_fold import NO_EPOCH, LeaseClaim, LeaseTable, claim_payload, fold_claims, parse_claim
 
 CONTROL_STREAM: Final = "control"
@@ -179,7 +179,7 @@
         self._rng = rng
         self._durations = LeaseDurations(lease_s, grace_s)
         self._log_wait_s = log_wait_s
-        self._patience = ReadPatience()
+        self._read_timeout = AdaptiveReadTimeout()
         self._table = LeaseTable()
         self._timestamps: dict[str, LeaseTimestamps] = {}
         self._sent_at_s: dict[str, float] = {}
@@ -237,7 +237,7 @@
 
     async def _read_once(self) -> None:
         from_offset = self._table.next_offset
-        batch = await self._patience.read(
+        batch = await self._read_timeout.read(
             self._log, CONTROL_STREAM, from_offset, self._log_wait_s if self._is_caught_up else 0.0
         )
         now_s = asyncio.get_running_loop().time()
--- a/samphirecleat/platform/__init__.py
+++ b/samphirecleat/platform/__init__.py
@@ -1,12 +1,20 @@
 """Clients of what the platform gives: the log, the host list, the weight store."""
 
 from ._host_list import HostListUnavailableError, HttpHostList, ListedHost
-from ._log import Appended, AppendOutcome, HttpLog, Log, LogBatch, LogUnavailableError, ReadPatience
+from ._log import (
+    AdaptiveReadTimeout,
+    AppendOutcome,
+    AppendResult,
+    HttpLog,
+    Log,
+    LogBatch,
+    LogUnavailableError,
+)
 from ._weight_store import HttpWeightStore, StoreInfo, WeightStoreUnavailableError
 
 __all__ = [
     "AppendOutcome",
-    "Appended",
+    "AppendResult",
     "HostListUnavailableError",
     "HttpHostList",
     "HttpLog",
@@ -15,7 +23,7 @@
     "Log",
     "LogBatch",
     "LogUnavailableError",
-    "ReadPatience",
+    "AdaptiveReadTimeout",
     "StoreInfo",
     "WeightStoreUnavailableError",
 ]
--- a/samphirecleat/platform/_log.py
+++ b/samphirecleat/platform/_log.py
@@ -9,8 +9,8 @@
 from ..config import LogRecord
 from ._answers import ANSWER_FAULTS
 
-SHORTEST_PATIENCE_S: Final = 1.0
-LONGEST_PATIENCE_S: Final = 16.0
+MIN_READ_TIMEOUT_S: Final = 1.0
+MAX_READ_TIMEOUT_S: Final = 16.0
 
 
 class AppendOutcome(Enum):
@@ -21,7 +21,7 @@
     UNKNOWN = "unknown"
 
 
-class Appended(NamedTuple):
+class AppendResult(NamedTuple):
     """The outcome of one append; ``offset`` is -1 unless it is APPENDED."""
 
     outcome: AppendOutcome
@@ -48,16 +48,16 @@
 class Log(Protocol):
     """What the system needs of the log."""
 
-    async def append(self, stream: str, payload: Mapping[str, Any]) -> Appended:
+    async def append(self, stream: str, payload: Mapping[str, Any]) -> AppendResult:
         """Append one record; never raises for a failure of the log."""
         ...
 
     async def read(
-        self, stream: str, from_offset: int, wait_s: float, *, patience_s: float
+        self, stream: str, from_offset: int, wait_s: float, *, timeout_s: float
     ) -> LogBatch:
         """Read on from an offset, waiting up to ``wait_s`` for a first record.
 
-        The answer may take ``patience_s`` beyond the wait. Offsets of one stream
+        The answer may take ``timeout_s`` beyond the wait. Offsets of one stream
         follow each other without gaps.
 
         :raises LogUnavailableError: when the log gives no answer.
@@ -76,7 +76,7 @@
         self._base_url = base_url
         self._timeout_s = timeout_s
 
-    async def append(self, stream: str, payload: Mapping[str, Any]) -> Appended:
+    async def append(self, stream: str, payload: Mapping[str, Any]) -> AppendResult:
         """Append one record; see :meth:`Log.append`."""
         url = f"{self._base_url}/v1/streams/{stream}/records"
         timeout = aiohttp.ClientTimeout(total=self._timeout_s)
@@ -84,24 +84,26 @@
             async with self._session.post(url, json=payload, timeout=timeout) as response:
                 if response.status == 200:
                     body = await response.json()
-                    return Appended(AppendOutcome.APPENDED, int(body["offset"]))
+                    return AppendResult(AppendOutcome.APPENDED, int(body["offset"]))
                 if response.status in (400, 413, 429):
                     # The log answers these before it takes the record.
-                    return Appended(AppendOutcome.NOT_APPENDED, detail=f"HTTP {response.status}")
-                return Appended(AppendOutcome.UNKNOWN, detail=f"HTTP {response.status}")
+                    return AppendResult(
+                        AppendOutcome.NOT_APPENDED, detail=f"HTTP {response.status}"
+                    )
+                return AppendResult(AppendOutcome.UNKNOWN, detail=f"HTTP {response.status}")
         except aiohttp.ClientConnectorError as error:
-            return Appended(AppendOutcome.NOT_APPENDED, detail=str(error))
+            return AppendResult(AppendOutcome.NOT_APPENDED, detail=str(error))
         except ANSWER_FAULTS as error:
             # The record may have been taken although its answer was lost.
-            return Appended(AppendOutcome.UNKNOWN, detail=str(error) or type(error).__name__)
+            return AppendResult(AppendOutcome.UNKNOWN, detail=str(error) or type(error).__name__)
 
     async def read(
-        self, stream: str, from_offset: int, wait_s: float, *, patience_s: float = 3.0
+        self, stream: str, from_offset: int, wait_s: float, *, timeout_s: float = 3.0
     ) -> LogBatch:
         """Read on from an offset; see :meth:`Log.read`."""
         url = f"{self._base_url}/v1/streams/{stream}/records"
         query = {"from": str(from_offset), "wait_s": str(wait_s)}
-        timeout = aiohttp.ClientTimeout(total=wait_s + patience_s)
+        timeout = aiohttp.ClientTimeout(total=wait_s + timeout_s)
         try:
             async with self._session.get(url, params=query, timeout=timeout) as response:
                 if response.status != 200:
@@ -111,7 +113,7 @@
             raise LogUnavailableError(str(error) or type(error).__name__) from error
 
 
-class ReadPatience:
+class AdaptiveReadTimeout:
     """How long one reader waits for answers: short, and longer while the log is slow.
 
     A connection that went silent would otherwise hold up a reader for as long as
@@ -120,7 +122,7 @@
 
     def __init__(self) -> None:
         """Start with the shortest patience."""
-        self.patience_s = SHORTEST_PATIENCE_S
+        self.timeout_s = MIN_READ_TIMEOUT_S
         self._failed_before = False
 
     async def read(self, log: Log, stream: str, from_offset: int, wait_s: float) -> LogBatch:
@@ -129,15 +131,15 @@
         :raises LogUnavailableError: when the log gives no answer.
         """
         try:
-            batch = await log.read(stream, from_offset, wait_s, patience_s=self.patience_s)
+            batch = await log.read(stream, from_offset, wait_s, timeout_s=self.timeout_s)
         except LogUnavailableError:
             # One read may have met a silent connection; the next has a new one.
             if self._failed_before:
-                self.patience_s = min(LONGEST_PATIENCE_S, self.patience_s * 2.0)
+                self.timeout_s = min(MAX_READ_TIMEOUT_S, self.timeout_s * 2.0)
             self._failed_before = True
             raise
         self._failed_before = False
-        self.patience_s = max(SHORTEST_PATIENCE_S, self.patience_s * 0.9)
+        self.timeout_s = max(MIN_READ_TIMEOUT_S, self.timeout_s * 0.9)
         return batch
 
 
--- a/samphirecleat/platform/_metadata_store.py
+++ b/samphirecleat/platform/_metadata_store.py
@@ -173,9 +173,9 @@
                 raise ConnectionRefusedError(str(error)) from error
             return None
 
-    def move(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Talk to the store at another address from now on."""
-        self._ways.move(address)
+        self._ways.set_address(address)
 
     def close(self) -> None:
         """Probe no more."""
--- a/samphirecleat/platform/_node_duties.py
+++ b/samphirecleat/platform/_node_duties.py
@@ -13,7 +13,7 @@
     ServiceDuties,
     TargetProvisioning,
 )
-from ..usage import ReportTerms, TrueClock, UsageDuty, UsageParts
+from ..usage import ReportSchedule, TrueClock, UsageDependencies, UsageDuty
 from ._boot_settings import BootSettings
 from ._duty_api import DutyApi
 
@@ -49,11 +49,11 @@
             parts = parts._replace(servers=TargetProvisioning(api, view.sees_targets))
         self._services = ServiceDuties(parts)
         self._usage = UsageDuty(
-            UsageParts(
+            UsageDependencies(
                 view.log,
                 api,
                 view.clock,
-                ReportTerms(settings.report_window_s, settings.report_due_s),
+                ReportSchedule(settings.report_window_s, settings.report_due_s),
                 parts.observer,
                 rng,
                 view.store_answers,
--- a/samphirecleat/platform/_peer_texts.py
+++ b/samphirecleat/platform/_peer_texts.py
@@ -50,7 +50,9 @@
             return {}
 
 
-def answer_texts(body: bytes, cached: Callable[[Sequence[str]], Mapping[str, bytes]]) -> bytes:
+def encode_texts_reply(
+    body: bytes, cached: Callable[[Sequence[str]], Mapping[str, bytes]]
+) -> bytes:
     """Return the answer to a peer that asks for texts.
 
     :raises msgspec.MsgspecError: when ``body`` names none.
--- a/samphirecleat/platform/_platform_node.py
+++ b/samphirecleat/platform/_platform_node.py
@@ -40,7 +40,7 @@
     ClockSample,
     TrueClock,
     UsageCounter,
-    write_gap_s,
+    write_interval_s,
 )
 from ._boot_settings import BootSettings
 from ._call_exchange import CallExchange
@@ -109,7 +109,7 @@
         self._clock = TrueClock(asyncio.get_running_loop().time, boot_time_s, time.time)
         self._session = aiohttp.ClientSession(connector=make_connector(STORE_SILENT_S))
         self._sessions = TargetSessions(self.observer)
-        self.targets.warm.keep_alive_s = self._sessions.idle_s
+        self.targets.warm.keep_alive_s = self._sessions.idle_timeout_s
         self._store = MetadataStore(
             self._session, settings.store_address, self._peer_controls, self.observer, self._rng
         )
@@ -168,7 +168,7 @@
             peer_ports=self.settings.peer_ports,
             metrics_port=self.settings.metrics_port,
         )
-        self._store.move(settings.store_address)
+        self._store.set_address(settings.store_address)
         self._api.move(settings.api_address)
         self._authenticator.rebind(
             fails_closed=settings.keys_fail_closed, revocation_s=settings.key_revocation_s
@@ -182,7 +182,7 @@
         self.board.leaving = True
         self.front.leaving = True
         self._membership.announce()
-        self._counter.hurry()
+        self._counter.flush_now()
         await self._duties.hand_over()
         serve_until_s = began_s + min(SERVE_ON_S, self.settings.grace_s * 0.6)
         end_by_s = began_s + self.settings.grace_s - END_MARGIN_S
@@ -204,19 +204,19 @@
         self._words.info("stopped")
 
     def _busy(self) -> bool:
-        unwritten = self.step_log.unlisted + self._counter.unwritten
+        unwritten = self.step_log.unlisted + self._counter.unwritten_calls
         return self.front.in_flight > 0 or unwritten > 0
 
     def _wire_watches(self) -> None:
         self.operator = OperatorWatch(self.routes, self.observer)
         self._operator_follower = TopicFollower(
-            self._store, TOPIC_OPERATOR, self.operator.take, self.observer, self._rng
+            self._store, TOPIC_OPERATOR, self.operator.apply, self.observer, self._rng
         )
         registry = TargetRegistry(lambda: self._target_follower.unavailable_at_s)
         self._member_registry = MemberRegistry(self._store, self.board, self.observer, self._rng)
         self.target_watch = TargetWatch(registry, self.targets, self.observer)
         self._target_follower = TopicFollower(
-            self._store, TOPIC_TARGETS, self.target_watch.take, self.observer, self._rng
+            self._store, TOPIC_TARGETS, self.target_watch.apply, self.observer, self._rng
         )
 
     def _wire_steps(self) -> None:
@@ -225,11 +225,11 @@
             self._store,
             self._clock,
             self.settings.report_window_s,
-            lambda: write_gap_s(len(self.board.members)),
+            lambda: write_interval_s(len(self.board.members)),
             self.observer,
             self._rng,
         )
-        meter = self._counter.began if self.settings.reports_usage else discard_usage
+        meter = self._counter.record_start if self.settings.reports_usage else discard_usage
         forwarder = Forwarder(
             self.routes, self.targets, exchange, self._rng, meter, self._crashes.guard
         )
@@ -270,7 +270,7 @@
             Scorer(self.routes, self.targets, forwarder, self.observer),
             ProgressJournal(self._store, self.observer),
             self.observer,
-            self.operator.named,
+            self.operator.newest_version,
             guard=self._crashes.guard,
         )
         self._api = DutyApi(
@@ -316,7 +316,7 @@
             self._crashes.guard.review([m.incarnation for m in self.board.live_members()])
             if self.settings.reports_usage:
                 self._agree_on_time()
-            await self._sessions.keep(self.targets.targets)
+            await self._sessions.close_stale(self.targets.targets)
 
     def _agree_on_time(self) -> None:
         """Take the time of day that most hosts have; windows of usage are told apart by it."""
@@ -325,7 +325,7 @@
             for view in self.board.members.values()
             if view.alive and view.member.time_of_day_ms
         ]
-        moved_s = self._clock.agree(samples)
+        moved_s = self._clock.synchronize(samples)
         if abs(moved_s) > CLOCK_MOVED_S:
             self._words.warning("clock corrected by=%.3f s hosts=%d", moved_s, len(samples))
 
--- a/samphirecleat/platform/_side_doors.py
+++ b/samphirecleat/platform/_side_doors.py
@@ -10,7 +10,7 @@
 from ..observe import Observer
 from ..serving import advertised_members
 from ._metadata_store import MetadataStore
-from ._peer_texts import PATH_TEXTS, answer_texts
+from ._peer_texts import PATH_TEXTS, encode_texts_reply
 from ._store_ways import RELAY_PREFIX
 from ._wire_names import PATH_READY, PATH_RESOLVE
 
@@ -72,7 +72,7 @@
     async def _texts(self, request: web.BaseRequest) -> web.StreamResponse:
         """Give a peer the texts that this node has in memory."""
         try:
-            return web.Response(body=answer_texts(await request.read(), self._cached_texts))
+            return web.Response(body=encode_texts_reply(await request.read(), self._cached_texts))
         except msgspec.MsgspecError as error:
             return web.Response(status=400, text=str(error))
 
--- a/samphirecleat/platform/_store_ways.py
+++ b/samphirecleat/platform/_store_ways.py
@@ -43,7 +43,7 @@
         self._good_peer: Way | None = None
         self._rests_until_s: dict[Way, float] = {}
 
-    def move(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Find the store at another address from now on."""
         self.direct = Way(f"http://{address}", "")
 
--- a/samphirecleat/platform/_target_sessions.py
+++ b/samphirecleat/platform/_target_sessions.py
@@ -41,7 +41,7 @@
             self._services[key] = target.service
         return session
 
-    def idle_s(self, service: str) -> float:
+    def idle_timeout_s(self, service: str) -> float:
         """Return how long connections to a service's targets are kept idle."""
         return self._idle_s.get(service, FIRST_IDLE_S)
 
@@ -55,7 +55,7 @@
                     self._idle_s[target.service] = idle_s
                     self._apply_idle(target.service, idle_s)
 
-    async def keep(self, targets: Mapping[str, Target]) -> None:
+    async def close_stale(self, targets: Mapping[str, Target]) -> None:
         """Close the sessions of starts that are gone."""
         present = {(t.instance, t.address, t.started_at_ms) for t in targets.values()}
         for key in [key for key in self._sessions if key not in present]:
@@ -74,7 +74,7 @@
             await session.close()
 
     def _open(self, service: str) -> aiohttp.ClientSession:
-        idle_s = self.idle_s(service)
+        idle_s = self.idle_timeout_s(service)
         pool = make_connector(SILENT_AFTER_S, keepalive_timeout_s=idle_s)
         connector = make_strict(pool, partial(self._count, service))
         session = aiohttp.ClientSession(
--- a/samphirecleat/platform/_watches.py
+++ b/samphirecleat/platform/_watches.py
@@ -23,7 +23,7 @@
         self._words = observer.log("config")
         self._named: dict[str, int] = {}
 
-    def take(self, entries: Sequence[LogEntry], newest: bool) -> None:
+    def apply(self, entries: Sequence[LogEntry], newest: bool) -> None:
         """Take entries of the operator's topic; dropped keys change nothing."""
         del newest
         for entry in entries:
@@ -37,7 +37,7 @@
             except DocumentFormatError as error:
                 self._words.error("offset=%d not understood: %s", entry.offset, error)
 
-    def named(self, model: str) -> int:
+    def newest_version(self, model: str) -> int:
         """Return the newest version of a model that was named, 1 before any."""
         return self._named.get(model, 1)
 
@@ -81,7 +81,7 @@
         self._table = table
         self._words = observer.log("targets")
 
-    def take(self, entries: Sequence[LogEntry], newest: bool) -> None:
+    def apply(self, entries: Sequence[LogEntry], newest: bool) -> None:
         """Take entries of the targets' topic."""
         read: dict[str, Target | None] = {entry.key: self._read(entry) for entry in entries}
         if newest:
--- a/samphirecleat/publish.py
+++ b/samphirecleat/publish.py
@@ -15,7 +15,7 @@
     read_record,
     read_service_text,
 )
-from .platform import AppendOutcome, Log, LogUnavailableError, ReadPatience
+from .platform import AdaptiveReadTimeout, AppendOutcome, Log, LogUnavailableError
 
 CONFIG_STREAM: Final = "config"
 READ_WAIT_S: Final = 1.0
@@ -66,7 +66,7 @@
         """Spend at most about ``timeout_s`` on one publication."""
         self._log = log
         self._timeout_s = timeout_s
-        self._patience = ReadPatience()
+        self._read_timeout = AdaptiveReadTimeout()
         self._state = ConfigState()
         self._records: list[LogRecord] = []
 
@@ -124,7 +124,7 @@
         """Fold what is new; return how many records, or None when the log is silent."""
         from_offset = self._state.folded_to + 1
         try:
-            batch = await self._patience.read(self._log, CONFIG_STREAM, from_offset, wait_s)
+            batch = await self._read_timeout.read(self._log, CONFIG_STREAM, from_offset, wait_s)
         except LogUnavailableError:
             await asyncio.sleep(RETRY_S)
             return None
--- a/samphirecleat/trial/_operator.py
+++ b/samphirecleat/trial/_operator.py
@@ -5,7 +5,7 @@
 import aiohttp
 
 from ..config import Publication, publication_payload
-from ..platform import Appended, HttpLog
+from ..platform import AppendResult, HttpLog
 from ._config_checks import INVALID_MARK
 from ._deployments import service_text
 from ._fleet import Fleet
@@ -19,7 +19,9 @@
         self._fleet = fleet
         self._rng = random.Random(f"{seed}/operator")
 
-    async def publish(self, name: str, base: int | None = None, *, valid: bool = True) -> Appended:
+    async def publish(
+        self, name: str, base: int | None = None, *, valid: bool = True
+    ) -> AppendResult:
         """Publish a changed text; ``base`` defaults to what some node has in force."""
         if base is None:
             base = self.revision_in_force()
--- a/samphirecleat/usage/__init__.py
+++ b/samphirecleat/usage/__init__.py
@@ -1,15 +1,15 @@
 """Usage of workspaces: counted where calls run, kept in the log, reported once a window."""
 
-from ._counter import UsageCounter, write_gap_s
+from ._counter import UsageCounter, write_interval_s
 from ._ledger import UsageLedger
 from ._records import CountsAdded, ReportFixed, WindowCounts
 from ._reporter import (
     REPORT_SUBJECT,
     ReportOutcome,
-    ReportTerms,
+    ReportSchedule,
     UsageChannel,
+    UsageDependencies,
     UsageDuty,
-    UsageParts,
 )
 from ._true_clock import ClockSample, TrueClock
 
@@ -19,13 +19,13 @@
     "CountsAdded",
     "ReportFixed",
     "ReportOutcome",
-    "ReportTerms",
+    "ReportSchedule",
     "TrueClock",
     "UsageChannel",
     "UsageCounter",
     "UsageDuty",
     "UsageLedger",
-    "UsageParts",
+    "UsageDependencies",
     "WindowCounts",
-    "write_gap_s",
+    "write_interval_s",
 ]
--- a/samphirecleat/usage/_counter.py
+++ b/samphirecleat/usage/_counter.py
@@ -23,15 +23,15 @@
 # Appends a second that all nodes together may make for counts.
 FLEET_APPENDS_PER_S: Final = 150.0
 # Calls that begin together are written together.
-SHORTEST_GAP_S: Final = 0.05
+MIN_WRITE_INTERVAL_S: Final = 0.05
 # Half of a window of a few seconds: a window's figures must be whole soon after its end.
-LONGEST_GAP_S: Final = 2.5
+MAX_WRITE_INTERVAL_S: Final = 2.5
 RETRY_S: Final = (0.1, 0.3)
 
 
-def write_gap_s(node_count: int) -> float:
+def write_interval_s(node_count: int) -> float:
     """Return the least time between two writes of one node of a fleet."""
-    return min(LONGEST_GAP_S, max(SHORTEST_GAP_S, node_count / FLEET_APPENDS_PER_S))
+    return min(MAX_WRITE_INTERVAL_S, max(MIN_WRITE_INTERVAL_S, node_count / FLEET_APPENDS_PER_S))
 
 
 class UsageCounter:
@@ -61,7 +61,7 @@
         self._came = asyncio.Event()
         self._hurried = asyncio.Event()
 
-    def began(self, workspace: str, at_loop_s: float) -> None:
+    def record_start(self, workspace: str, at_loop_s: float) -> None:
         """Count a call that began to run at a target at a time of the loop."""
         window = int(self._clock.at_s(at_loop_s) // self._window_s)
         self._pending.setdefault(window, Counter())[workspace] += 1
@@ -69,11 +69,11 @@
         self._came.set()
 
     @property
-    def unwritten(self) -> int:
+    def unwritten_calls(self) -> int:
         """How many calls are counted and not known to be written."""
         return sum(counts.total() for counts in self._pending.values())
 
-    def hurry(self) -> None:
+    def flush_now(self) -> None:
         """Write at once from now on: the node leaves."""
         self._hurried.set()
 
@@ -82,7 +82,7 @@
         while True:
             await self._came.wait()
             now_s = asyncio.get_running_loop().time()
-            wait_s = max(SHORTEST_GAP_S, self._written_at_s + self._gap_s() - now_s)
+            wait_s = max(MIN_WRITE_INTERVAL_S, self._written_at_s + self._gap_s() - now_s)
             try:
                 async with asyncio.timeout(wait_s):
                     await self._hurried.wait()
--- a/samphirecleat/usage/_reporter.py
+++ b/samphirecleat/usage/_reporter.py
@@ -74,14 +74,14 @@
         ...
 
 
-class ReportTerms(NamedTuple):
+class ReportSchedule(NamedTuple):
     """How long a window is, and how long after its end its report is due."""
 
     window_s: float
     due_after_s: float
 
 
-class UsageParts(NamedTuple):
+class UsageDependencies(NamedTuple):
     """What reporting needs of its node.
 
     ``store_answers`` says whether the store answers this node itself, and not only through peers.
@@ -90,7 +90,7 @@
     log: KeyedLog
     channel: UsageChannel
     clock: TrueClock
-    terms: ReportTerms
+    terms: ReportSchedule
     observer: Observer
     rng: random.Random
     store_answers: Callable[[], bool]
@@ -99,7 +99,7 @@
 class UsageDuty:
     """The one subject of usage; every node may be its holder."""
 
-    def __init__(self, parts: UsageParts) -> None:
+    def __init__(self, parts: UsageDependencies) -> None:
         """Report by way of ``parts``."""
         self._parts = parts
 
@@ -115,7 +115,7 @@
 class _UsagePost:
     """The reports of one holder."""
 
-    def __init__(self, parts: UsageParts, holder: Holder) -> None:
+    def __init__(self, parts: UsageDependencies, holder: Holder) -> None:
         self._log = parts.log
         self._channel = parts.channel
         self._clock = parts.clock
--- a/samphirecleat/usage/_true_clock.py
+++ b/samphirecleat/usage/_true_clock.py
@@ -38,7 +38,7 @@
         self._lag_s = boot_time_s() - loop_time_s()
         self._samples_count_from_s = -1.0
 
-    def agree(self, samples: Sequence[ClockSample]) -> float:
+    def synchronize(self, samples: Sequence[ClockSample]) -> float:
         """Take what the nodes of the fleet, this one among them, say; return the correction."""
         now_loop_s, now_boot_s = self._loop_time_s(), self._boot_time_s()
         lag_s = now_boot_s - now_loop_s
--- a/tests/platform/standin_ending.py
+++ b/tests/platform/standin_ending.py
@@ -16,7 +16,7 @@
     """A target that ends on calls whose path begins with ``ends_on``, and is back after a while.
 
     Each start is another instance at the same address, registered anew. ``ended_under`` holds the
-    id of each call that ended it. A call to ``/plain/slow`` runs until ``go_on`` is set.
+    id of each call that ended it. A call to ``/plain/slow`` runs until ``resume`` is set.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
             await asyncio.Event().wait()
         if ours and request.raw_path.startswith("/plain/slow"):
             self.slow_calls += 1
-            await self.go_on.wait()
+            await self.resume.wait()
         return await super()._call(request)
 
     async def _end(self) -> None:
--- a/tests/platform/standin_store.py
+++ b/tests/platform/standin_store.py
@@ -14,8 +14,8 @@
     """Topics of one partition each; ``answers`` says what becomes of the next appends.
 
     ``lost``: done, and the connection closes without an answer. ``late``: as lost, and
-    done by :meth:`catch_up`. A number: that status, and nothing done. ``refusing`` answers
-    every call with a status.
+    done by :meth:`apply_late_appends`. A number: that status, and nothing done.
+    ``error_status`` answers every call with a status.
     """
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         self.topics: dict[str, list[bytes]] = defaultdict(list)
         self.first: dict[str, int] = defaultdict(int)
         self.answers: list[str | int] = []
-        self.refusing = 0
+        self.error_status = 0
         self.page_rows = 500
         self.calls = 0
         self._late: list[tuple[str, bytes]] = []
@@ -41,7 +41,7 @@
         content = b"" if value is None else json.dumps(value).encode()
         self._do_append(topic, [bytes([len(name)]) + name + content])
 
-    def catch_up(self) -> None:
+    def apply_late_appends(self) -> None:
         """Carry out the appends that are late."""
         late, self._late = self._late, []
         for topic, body in late:
@@ -61,8 +61,8 @@
     async def _append(self, request: web.Request) -> web.StreamResponse:
         self.calls += 1
         body = await request.read()
-        if self.refusing:
-            return web.Response(status=self.refusing)
+        if self.error_status:
+            return web.Response(status=self.error_status)
         topic = request.query["topic"]
         answer = self.answers.pop(0) if self.answers else ""
         if isinstance(answer, int):
@@ -85,8 +85,8 @@
 
     async def _read(self, request: web.Request) -> web.StreamResponse:
         self.calls += 1
-        if self.refusing:
-            return web.Response(status=self.refusing)
+        if self.error_status:
+            return web.Response(status=self.error_status)
         topic, start = request.query["topic"], int(request.query["from"])
         if start < self.first[topic]:
             return web.json_response({"first": self.first[topic]}, status=410)
@@ -103,8 +103,8 @@
 
     async def _newest(self, request: web.Request) -> web.StreamResponse:
         self.calls += 1
-        if self.refusing:
-            return web.Response(status=self.refusing)
+        if self.error_status:
+            return web.Response(status=self.error_status)
         topic, after = request.query["topic"], request.query.get("after", "")
         newest: dict[str, tuple[int, bytes]] = {}
         for offset, record in enumerate(self.topics[topic]):
--- a/tests/platform/standin_targets.py
+++ b/tests/platform/standin_targets.py
@@ -13,7 +13,7 @@
 
     ``answers`` says what becomes of the next calls: ``refused``, ``reset``, ``other id``,
     ``no signature``, ``cut``, ``surplus``, ``encoded`` or a status. Behind the event
-    ``hold_after`` a stream waits for ``go_on``; ``dropped`` is set when its caller leaves.
+    ``pause_after`` a stream waits for ``resume``; ``disconnected`` is set when its caller leaves.
     """
 
     def __init__(self, instance: str, *, events: int = 5, pause_s: float = 0.005) -> None:
@@ -26,9 +26,9 @@
         self.answers: list[str | int] = []
         self.seen: list[tuple[str, str, dict[str, str], bytes]] = []
         self.runs: Counter[str] = Counter()
-        self.hold_after = 0
-        self.go_on = asyncio.Event()
-        self.dropped = asyncio.Event()
+        self.pause_after = 0
+        self.resume = asyncio.Event()
+        self.disconnected = asyncio.Event()
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
         router.add_get("/v1/report", self._report)
@@ -81,9 +81,9 @@
         return web.Response(body=b"answer to " + request_id.encode(), headers=headers)
 
     async def _hold(self, request: web.Request) -> None:
-        while not self.go_on.is_set():
+        while not self.resume.is_set():
             if request.transport is None or request.transport.is_closing():
-                self.dropped.set()
+                self.disconnected.set()
                 return
             await asyncio.sleep(0.01)
 
@@ -108,7 +108,7 @@
                 request.transport.abort()
                 return response
             await response.write(event)
-            if number == self.hold_after:
+            if number == self.pause_after:
                 await self._hold(request)
         await response.write_eof()
         return response
--- a/tests/platform/test_callers_streams.py
+++ b/tests/platform/test_callers_streams.py
@@ -71,13 +71,13 @@
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (nodes, caller, _store, targets):
             await caller.call("GET", "/v1/readiness", port=nodes.ready)
-            targets[0].hold_after = 2
+            targets[0].pause_after = 2
             url = f"http://{nodes.hosts[0]}:{nodes.front}/run/1"
             headers = {"Host": "h.example", "X-Request-Id": "q1"}
             async with aiohttp.ClientSession() as session, session.post(url, headers=headers) as r:
                 async with asyncio.timeout(10.0):
                     assert await r.content.readexactly(len(event_text(1, 2))) == event_text(1, 2)
-                targets[0].go_on.set()
+                targets[0].resume.set()
                 assert await r.content.read() == event_text(3, EVENTS)
 
     asyncio.run(body())
@@ -87,14 +87,14 @@
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (nodes, caller, _store, targets):
             await caller.call("GET", "/v1/readiness", port=nodes.ready)
-            targets[0].hold_after = 1
+            targets[0].pause_after = 1
             url = f"http://{nodes.hosts[0]}:{nodes.front}/run/1"
             headers = {"Host": "h.example", "X-Request-Id": "q1"}
             async with aiohttp.ClientSession() as session, session.post(url, headers=headers) as r:
                 await r.content.readexactly(len(event_text(1, 1)))
                 r.close()
             async with asyncio.timeout(10.0):
-                await targets[0].dropped.wait()
+                await targets[0].disconnected.wait()
 
     asyncio.run(body())
 
--- a/tests/platform/test_clients.py
+++ b/tests/platform/test_clients.py
@@ -9,14 +9,14 @@
 from aiohttp import web
 
 from samphirecleat.platform import (
+    AdaptiveReadTimeout,
     AppendOutcome,
     HostListUnavailableError,
     HttpHostList,
     HttpLog,
     LogUnavailableError,
-    ReadPatience,
 )
-from samphirecleat.platform._log import LONGEST_PATIENCE_S, SHORTEST_PATIENCE_S
+from samphirecleat.platform._log import MAX_READ_TIMEOUT_S, MIN_READ_TIMEOUT_S
 from samphirecleat.standins import HostRow, StandInHostList, StandInLog, StandInServer
 
 T = TypeVar("T")
@@ -144,7 +144,7 @@
 
     async def work(session: aiohttp.ClientSession, url: str) -> None:
         with pytest.raises(LogUnavailableError):
-            await HttpLog(session, url).read("config", 0, 0.0, patience_s=0.2)
+            await HttpLog(session, url).read("config", 0, 0.0, timeout_s=0.2)
 
     serve(faulty_log(fault), work)
 
@@ -181,14 +181,14 @@
 
     async def work(session: aiohttp.ClientSession, url: str) -> None:
         client = HttpLog(session, url)
-        patience = ReadPatience()
+        read_timeout = AdaptiveReadTimeout()
         for _ in range(6):
             with pytest.raises(LogUnavailableError):
-                await patience.read(client, "config", 0, 0.0)
-        assert patience.patience_s == LONGEST_PATIENCE_S
+                await read_timeout.read(client, "config", 0, 0.0)
+        assert read_timeout.timeout_s == MAX_READ_TIMEOUT_S
         log.down = False
-        await patience.read(client, "config", 0, 0.0)
-        assert SHORTEST_PATIENCE_S < patience.patience_s < LONGEST_PATIENCE_S
+        await read_timeout.read(client, "config", 0, 0.0)
+        assert MIN_READ_TIMEOUT_S < read_timeout.timeout_s < MAX_READ_TIMEOUT_S
 
     serve(log, work)
 
--- a/tests/platform/test_crashing_calls.py
+++ b/tests/platform/test_crashing_calls.py
@@ -182,12 +182,12 @@
         ):
             await ready(nodes, caller)
             for target in targets:
-                target.go_on.set()
+                target.resume.set()
             for number, _host in enumerate(nodes.hosts):
                 assert await send(session, nodes, 90 + number, path="/plain/slow") == 200
             for again in range(3):
                 for target in targets:
-                    target.go_on.clear()
+                    target.resume.clear()
                     target.slow_calls = 0
                 first = 10 * again
                 sent = [
@@ -199,7 +199,7 @@
                         await asyncio.sleep(0.01)
                 for target in targets:
                     target.end()
-                    target.go_on.set()
+                    target.resume.set()
                 statuses = await asyncio.gather(*sent)
                 assert set(statuses) <= {200, *NO_ANSWER}
                 await ready(nodes, caller)
--- a/tests/platform/test_keys.py
+++ b/tests/platform/test_keys.py
@@ -120,12 +120,12 @@
             nodes.more_bounds = f"revokeFailClosed = {flag}\nrevocationMs = 1500"
             await nodes.start_one(host)
             await caller.call("POST", "/plain/1", headers=bearer("shop-1"))
-            store.refusing = 503
+            store.error_status = 503
             await asyncio.sleep(2.0)
             want = 503 if fails_closed else 200
             await caller.call("POST", "/plain/1", want=want, headers=bearer("shop-1"))
             await caller.call("POST", "/plain/1", want=503, headers=bearer("unheard-of"))
-            store.refusing = 0
+            store.error_status = 0
             await caller.call("POST", "/plain/1", headers=bearer("shop-1"))
             await caller.call("POST", "/plain/1", want=401, headers=bearer("unheard-of"))
 
@@ -142,10 +142,10 @@
             nodes.more_bounds = "revokeFailClosed = true\nrevocationMs = 700"
             nodes.write_settings(host, nodes.settings(host))
             await asyncio.sleep(0.5)
-            store.refusing = 503
+            store.error_status = 503
             await asyncio.sleep(1.2)
             await caller.call("POST", "/plain/1", want=503, headers=bearer("shop-1"))
-            store.refusing = 0
+            store.error_status = 0
             await caller.call("POST", "/plain/1", headers=bearer("shop-1"))
 
     asyncio.run(body())
--- a/tests/platform/test_metadata_store.py
+++ b/tests/platform/test_metadata_store.py
@@ -90,7 +90,7 @@
 def test_a_store_that_is_down_is_said_to_be_away() -> None:
     async def body() -> None:
         async with store_client() as (stand_in, store):
-            stand_in.refusing = 503
+            stand_in.error_status = 503
             with pytest.raises(LogUnavailableError):
                 await store.newest("keyed.x")
             await stand_in.stop()
@@ -191,11 +191,11 @@
 
     async def body() -> None:
         async with store_client() as (stand_in, store):
-            stand_in.refusing = 503
+            stand_in.error_status = 503
             with pytest.raises(LogUnavailableError):
                 await store.read("keyed.x", 0, 0.0)
             assert not store.reachable
-            stand_in.refusing = 0
+            stand_in.error_status = 0
             await until(lambda: store.reachable)
             store.close()
 
--- a/tests/platform/test_node_processes.py
+++ b/tests/platform/test_node_processes.py
@@ -143,7 +143,7 @@
         async with running_nodes(1, tmp_path) as (_nodes, caller, store, _targets):
             headers = {"X-Request-Id": "j1"}
             await caller.call("POST", "/jobs/1", want=202, body=job(2), headers=headers)
-            store.refusing = 503
+            store.error_status = 503
             await caller.call("GET", "/v1/lots/unknown", want=503)
             await caller.call(
                 "POST", "/jobs/2", want=503, body=job(2), headers={"X-Request-Id": "j2"}
@@ -151,7 +151,7 @@
             answer = await caller.call("POST", "/plain/1", headers={"X-Request-Id": "q1"})
             assert answer == b"answer to q1"
             await caller.call("POST", "/jobs/1", want=202, body=job(2), headers=headers)
-            store.refusing = 0
+            store.error_status = 0
             await caller.call(
                 "POST", "/jobs/2", want=202, body=job(2), headers={"X-Request-Id": "j2"}
             )
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -153,8 +153,8 @@
                 await faults[name]()
                 self.seen[name] += 1
                 await asyncio.sleep(self.rng.uniform(0.1, 0.8))
-        self.store.refusing = 0
-        self.store.catch_up()
+        self.store.error_status = 0
+        self.store.apply_late_appends()
         self.over = True
 
     async def kill(self) -> None:
@@ -175,9 +175,9 @@
         await self.nodes.start_one(host)
 
     async def store_away(self) -> None:
-        self.store.refusing = self.rng.choice([429, 503])
+        self.store.error_status = self.rng.choice([429, 503])
         await asyncio.sleep(self.rng.uniform(0.2, 1.5))
-        self.store.refusing = 0
+        self.store.error_status = 0
 
     async def lose_answers(self) -> None:
         self.store.answers = ["lost"] * self.rng.randint(1, 3)
@@ -185,7 +185,7 @@
     async def act_late(self) -> None:
         self.store.answers = ["late"] * self.rng.randint(1, 2)
         await asyncio.sleep(self.rng.uniform(0.2, 1.0))
-        self.store.catch_up()
+        self.store.apply_late_appends()
 
     async def forget(self) -> None:
         for topic in [name for name in self.store.topics if name.startswith("keyed.")]:
--- a/tests/platform/test_target_sessions.py
+++ b/tests/platform/test_target_sessions.py
@@ -35,7 +35,7 @@
         sessions.learn_idle(target("t1"), "timeout=10")
         assert opened.connector is not None
         assert opened.connector._keepalive_timeout == pytest.approx(want_s)
-        assert sessions.idle_s(service) == pytest.approx(want_s)
+        assert sessions.idle_timeout_s(service) == pytest.approx(want_s)
         await sessions.close()
 
     asyncio.run(body())
--- a/tests/platform/test_watches.py
+++ b/tests/platform/test_watches.py
@@ -31,9 +31,9 @@
     table = TargetTable("z")
     watch = TargetWatch(TargetRegistry(lambda: -1e9), table, observer)
     with caplog.at_level("INFO"):
-        watch.take([registration(number) for number in range(40)], True)
-        watch.take([registration(3, draining=True)], False)
-        watch.take([LogEntry(50, "i-7", b"")], False)
+        watch.apply([registration(number) for number in range(40)], True)
+        watch.apply([registration(3, draining=True)], False)
+        watch.apply([LogEntry(50, "i-7", b"")], False)
     lines = [record.getMessage() for record in caplog.records]
     assert len(table.targets) == 39
     assert len(lines) == 3
--- a/tests/usage/test_true_clock.py
+++ b/tests/usage/test_true_clock.py
@@ -34,7 +34,7 @@
     host = Host(ahead_s=5.0)
     clock = host.clock()
     assert clock.now_s() == pytest.approx(1_000_005.0, rel=0.0, abs=0.01)
-    assert clock.agree(samples(host, 5.0, 0.01, 0.0, -0.01, 0.0)) == pytest.approx(
+    assert clock.synchronize(samples(host, 5.0, 0.01, 0.0, -0.01, 0.0)) == pytest.approx(
         -5.0, rel=0.0, abs=0.02
     )
     assert clock.now_s() == pytest.approx(1_000_000.0, rel=0.0, abs=0.02)
@@ -48,27 +48,27 @@
     clock = host.clock()
     host.ahead_s = step_s
     host.passes(1.0)
-    clock.agree(samples(host, step_s, 0.0, 0.0, 0.0, 0.0))
+    clock.synchronize(samples(host, step_s, 0.0, 0.0, 0.0, 0.0))
     assert clock.now_s() == pytest.approx(1_000_001.0, rel=0.0, abs=0.01)
 
 
 def test_a_few_liars_do_not_move_the_others() -> None:
     host = Host()
     clock = host.clock()
-    clock.agree(samples(host, 0.0, 0.001, -0.002, 30.0, 30.0))
+    clock.synchronize(samples(host, 0.0, 0.001, -0.002, 30.0, 30.0))
     assert clock.now_s() == pytest.approx(1_000_000.0, rel=0.0, abs=0.01)
 
 
 def test_two_hosts_can_not_outvote_each_other() -> None:
     host = Host()
     clock = host.clock()
-    assert clock.agree(samples(host, 0.0, 9.0)) == 0.0
+    assert clock.synchronize(samples(host, 0.0, 9.0)) == 0.0
 
 
 def test_old_samples_count_at_their_age() -> None:
     host = Host()
     clock = host.clock()
-    clock.agree(samples(host, 0.0, 0.0, 0.0, age_s=4.0))
+    clock.synchronize(samples(host, 0.0, 0.0, 0.0, age_s=4.0))
     assert clock.now_s() == pytest.approx(1_000_000.0, rel=0.0, abs=0.01)
 
 
@@ -78,8 +78,8 @@
     clock = host.clock()
     old = samples(host, 0.0, 0.0, 0.0, 0.0)
     host.boot_s += 6.0
-    clock.agree(old)
+    clock.synchronize(old)
     assert clock.now_s() == pytest.approx(1_000_006.0, rel=0.0, abs=0.01)
     host.passes(1.0)
-    clock.agree(samples(host, 0.0, 0.0, 0.0))
+    clock.synchronize(samples(host, 0.0, 0.0, 0.0))
     assert clock.now_s() == pytest.approx(1_000_007.0, rel=0.0, abs=0.01)
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -14,14 +14,14 @@
     CountsAdded,
     ReportFixed,
     ReportOutcome,
-    ReportTerms,
+    ReportSchedule,
     TrueClock,
     UsageCounter,
+    UsageDependencies,
     UsageDuty,
     UsageLedger,
-    UsageParts,
     WindowCounts,
-    write_gap_s,
+    write_interval_s,
 )
 from samphirecleat.usage._counter import USAGE_TOPIC
 from samphirecleat.usage._records import entry_of
@@ -78,11 +78,11 @@
     async def holder(
         self, fencing: int, may_act: Callable[[float], bool] = lambda _s: True
     ) -> Duty:
-        parts = UsageParts(
+        parts = UsageDependencies(
             self.log,
             self.api,
             self.clock(),
-            ReportTerms(WINDOW_S, DUE_S),
+            ReportSchedule(WINDOW_S, DUE_S),
             Observer("n1"),
             random.Random(1),
             lambda: self.store_answers,
@@ -133,11 +133,11 @@
     async def body(stage: Stage) -> None:
         counter = stage.counter()
         async with counting(counter):
-            counter.began("w", stage.now_s)
-            counter.began("w", stage.now_s - WINDOW_S)
-            counter.began("v", stage.now_s)
+            counter.record_start("w", stage.now_s)
+            counter.record_start("w", stage.now_s - WINDOW_S)
+            counter.record_start("v", stage.now_s)
             stage.log.topic(USAGE_TOPIC).answers = list(answers)
-            await until(lambda: not counter.unwritten)
+            await until(lambda: not counter.unwritten_calls)
         stage.log.topic(USAGE_TOPIC).catch_up()
         ledger = UsageLedger(Observer("n1"))
         ledger.take(stage.log.topic(USAGE_TOPIC).entries, False)
@@ -153,7 +153,7 @@
     async def body(stage: Stage) -> None:
         counter = stage.counter(gap_s=1e6)
         async with counting(counter):
-            counter.began("w", stage.now_s)
+            counter.record_start("w", stage.now_s)
             await until(lambda: bool(stage.log.topic(USAGE_TOPIC).entries))
 
     run(body)
@@ -163,20 +163,20 @@
     async def body(stage: Stage) -> None:
         counter = stage.counter(gap_s=1e6)
         async with counting(counter):
-            counter.began("w", stage.now_s)
-            await until(lambda: not counter.unwritten)
-            counter.began("w", stage.now_s)
+            counter.record_start("w", stage.now_s)
+            await until(lambda: not counter.unwritten_calls)
+            counter.record_start("w", stage.now_s)
             await asyncio.sleep(0.1)
-            assert counter.unwritten
-            counter.hurry()
-            await until(lambda: not counter.unwritten)
+            assert counter.unwritten_calls
+            counter.flush_now()
+            await until(lambda: not counter.unwritten_calls)
 
     run(body)
 
 
 @pytest.mark.parametrize(("nodes", "want_s"), [(3, 0.05), (64, 0.43), (195, 1.3), (390, 2.5)])
 def test_a_large_fleet_writes_less_often(nodes: int, want_s: float) -> None:
-    assert write_gap_s(nodes) == pytest.approx(want_s, abs=0.01)
+    assert write_interval_s(nodes) == pytest.approx(want_s, abs=0.01)
 
 
 def write(stage: Stage, record: CountsAdded | ReportFixed, unique: str) -> None:
