--- a/samphirecleat/platform/_metadata_store.py
+++ b/samphirecleat/platform/_metadata_store.py
@@ -1,7 +1,8 @@
-"""The one client of the platform's store, filling the product's log ports.
+"""Client of the platform's metadata store; implements the ports KeyedLog and PlainLog.
 
-A node that the store turns away asks through a peer: the store may refuse some machines
-while it serves the others. Only calls that surely did nothing go on to a peer.
+A node that the store refuses sends its calls through a peer, because the store may refuse some
+hosts while it serves others. An append is retried through a peer only if it certainly had no
+effect.
 """
 
 import asyncio
@@ -29,44 +30,44 @@
 from ..observe import Observer
 from ._answers import ANSWER_FAULTS
 from ._record_framing import (
-    first_kept,
-    join_key,
-    join_records,
-    offset_of,
-    split_key,
-    split_records,
+    decode_keyed_record,
+    decode_records,
+    encode_keyed_record,
+    encode_records,
+    parse_append_offset,
+    parse_first_offset,
 )
-from ._store_ways import StoreWays, Way
+from ._store_ways import StoreRoute, StoreRoutes
 from ._wire_names import PATH_APPEND, PATH_NEWEST, PATH_READ, PATH_TRIM, TOPIC_OPERATOR
 
-# Patience beyond any wait of a call: the store answers in milliseconds; while it is slow it
-# may take sixty times as long, and an append waits up to two seconds for its turn, so patience
-# grows with each failure.
-SHORTEST_PATIENCE_S: Final = 0.8
-LONGEST_PATIENCE_S: Final = 2.5
-# While the direct way does not work, a probe tries it this often, with a patience of its own.
-PROBE_EVERY_S: Final = 0.4
-PROBE_PATIENCE_S: Final = 1.0
+# Timeout of a call, in addition to its requested wait. The store usually answers in milliseconds. A
+# slow store can take sixty times as long, and an append can be queued there for up to two seconds,
+# so the timeout grows with each call that timed out.
+MIN_TIMEOUT_S: Final = 0.8
+MAX_TIMEOUT_S: Final = 2.5
+# While the direct route fails, a probe tries it at this interval and with its own timeout.
+PROBE_INTERVAL_S: Final = 0.4
+PROBE_TIMEOUT_S: Final = 1.0
 _READ_HEADER_BYTES: Final = 16
 
 
 class StoreReply(NamedTuple):
-    """A whole answer of the store."""
+    """A complete response of the store."""
 
     status: int
     body: bytes
 
 
-class _Unanswered(Exception):
-    """A call without an answer; ``done`` is False only if it surely did nothing."""
+class _NoReplyError(Exception):
+    """A call got no response; ``may_have_run`` is False only if it certainly had no effect."""
 
-    def __init__(self, detail: str, *, may_be_done: bool) -> None:
+    def __init__(self, detail: str, *, may_have_run: bool) -> None:
         super().__init__(detail)
-        self.may_be_done = may_be_done
+        self.may_have_run = may_have_run
 
 
 class MetadataStore:
-    """Keyed and plain topics of the platform's log."""
+    """Reads and writes the topics of the platform's log, with and without record keys."""
 
     def __init__(
         self,
@@ -76,19 +77,19 @@
         observer: Observer,
         rng: random.Random,
     ) -> None:
-        """Talk to the store at ``address``; ``peers`` gives control addresses of live nodes."""
+        """Use the store at ``address``; ``peers`` returns the control addresses of live nodes."""
         self._session = session
-        self._ways = StoreWays(address, peers, rng)
-        self._probing: asyncio.Task[None] | None = None
+        self._routes = StoreRoutes(address, peers, rng)
+        self._probe_task: asyncio.Task[None] | None = None
         self._observer = observer
-        self._words = observer.log("store")
-        self._patience_s = SHORTEST_PATIENCE_S
+        self._logger = observer.log("store")
+        self._timeout_s = MIN_TIMEOUT_S
 
     async def newest(self, topic: str, prefix: str = "") -> LogSlice:
         """Return the newest entry of every key; see :class:`KeyedLog`."""
         entries: list[LogEntry] = []
         end = -1
-        # A key that is the prefix itself is passed over; keys are longer than their prefix.
+        # A key equal to the prefix is skipped; keys are always longer than their prefix.
         after = prefix
         while True:
             query = {"topic": topic, "part": "0"} | ({"after": after} if after else {})
@@ -102,33 +103,34 @@
                     for row in page["items"]
                 ]
                 end = int(page["end"]) if end < 0 else end
-                more = bool(page["truncated"])
+                truncated = bool(page["truncated"])
             except ANSWER_FAULTS as error:
-                raise LogUnavailableError(f"not understood: {error!r}") from error
-            wanted = [row for row in rows if row.key.startswith(prefix)]
-            entries.extend(wanted)
-            if not more or len(wanted) < len(rows) or not rows:
+                raise LogUnavailableError(f"malformed response: {error!r}") from error
+            matching = [row for row in rows if row.key.startswith(prefix)]
+            entries.extend(matching)
+            if not truncated or len(matching) < len(rows) or not rows:
                 return LogSlice(entries, end)
             after = rows[-1].key
 
     async def read(
         self, topic: str, from_offset: int, wait_s: float, *, most_bytes: int = READ_BYTES
     ) -> LogSlice:
-        """Return entries from an offset on; see :class:`KeyedLog`."""
+        """Return the entries from an offset on; see :class:`KeyedLog`."""
         records, end = await self._read_records(topic, from_offset, wait_s, most_bytes)
         try:
             entries = [
-                LogEntry(from_offset + at, *split_key(record)) for at, record in enumerate(records)
+                LogEntry(from_offset + index, *decode_keyed_record(record))
+                for index, record in enumerate(records)
             ]
         except (IndexError, UnicodeDecodeError) as error:
-            raise LogUnavailableError(f"a record without a key: {error!r}") from error
+            raise LogUnavailableError(f"record without a key: {error!r}") from error
         return LogSlice(entries, end)
 
     async def append(
         self, topic: str, entries: Sequence[tuple[str, bytes]], at: int = UNCONDITIONAL
     ) -> AppendResult:
         """Append keyed entries; see :class:`KeyedLog`."""
-        records = [join_key(key, value) for key, value in entries]
+        records = [encode_keyed_record(key, value) for key, value in entries]
         return await self._append(topic, records, at)
 
     async def append_plain(self, topic: str, records: Sequence[bytes]) -> AppendResult:
@@ -136,56 +138,56 @@
         return await self._append(topic, records, UNCONDITIONAL)
 
     async def trim_plain(self, topic: str, before: int) -> None:
-        """Drop the records before an offset; see :class:`PlainLog`."""
+        """Delete the records before an offset; see :class:`PlainLog`."""
         body = msgspec.json.encode({"topic": topic, "part": 0, "before": before})
         try:
-            await self._call(self._ways.direct, "POST", PATH_TRIM, body, 0.0)
-        except _Unanswered as error:
-            self._words.info("topic=%s not trimmed: %s", topic, error)
+            await self._call(self._routes.direct, "POST", PATH_TRIM, body, 0.0)
+        except _NoReplyError as error:
+            self._logger.info("topic=%s trim failed: %s", topic, error)
 
     async def read_plain(self, topic: str) -> Sequence[bytes]:
-        """Return all records that are kept; see :class:`PlainLog`."""
+        """Return all retained records; see :class:`PlainLog`."""
         records: list[bytes] = []
         offset = 0
         while True:
             try:
-                more, end = await self._read_records(topic, offset, 0.0)
+                page_records, end = await self._read_records(topic, offset, 0.0)
             except HistoryGoneError as error:
                 first = error.args[0]
                 if not isinstance(first, int) or first <= offset:
-                    raise LogUnavailableError("no first offset") from error
+                    raise LogUnavailableError("response without a first offset") from error
                 offset = first
                 continue
-            records.extend(more)
-            offset += len(more)
-            if offset >= end or not more:
+            records.extend(page_records)
+            offset += len(page_records)
+            if offset >= end or not page_records:
                 return records
 
     async def relay(self, method: str, path: str, body: bytes, wait_s: float) -> StoreReply | None:
-        """Pass a peer's call on to the store; None if the store gave no answer.
+        """Forward a peer's call to the store and return the response, None if there was none.
 
-        :raises ConnectionRefusedError: when the call surely did nothing.
+        :raises ConnectionRefusedError: when the call certainly had no effect.
         """
         try:
-            return await self._call(self._ways.direct, method, path, body, wait_s)
-        except _Unanswered as error:
-            if not error.may_be_done:
+            return await self._call(self._routes.direct, method, path, body, wait_s)
+        except _NoReplyError as error:
+            if not error.may_have_run:
                 raise ConnectionRefusedError(str(error)) from error
             return None
 
     def set_address(self, address: str) -> None:
-        """Talk to the store at another address from now on."""
-        self._ways.set_address(address)
+        """Use the store at another address from now on."""
+        self._routes.set_address(address)
 
     def close(self) -> None:
-        """Probe no more."""
-        if self._probing is not None:
-            self._probing.cancel()
+        """Cancel the probe."""
+        if self._probe_task is not None:
+            self._probe_task.cancel()
 
     @property
     def reachable(self) -> bool:
-        """Whether the store answered this node's last direct call."""
-        return self._ways.direct_works
+        """Whether the last direct call of this node succeeded."""
+        return self._routes.direct_ok
 
     async def _read_records(
         self, topic: str, from_offset: int, wait_s: float, most_bytes: int = READ_BYTES
@@ -196,34 +198,34 @@
             query += f"&waitMs={int(wait_s * 1000)}"
         reply = await self._read_call(f"{PATH_READ}?{query}", wait_s)
         if reply.status == 410:
-            raise HistoryGoneError(first_kept(reply.body))
+            raise HistoryGoneError(parse_first_offset(reply.body))
         if reply.status != 200 or len(reply.body) < _READ_HEADER_BYTES:
             raise LogUnavailableError(f"HTTP {reply.status}")
         end = int.from_bytes(reply.body[:8])
         try:
-            return list(split_records(reply.body[_READ_HEADER_BYTES:])), end
+            return list(decode_records(reply.body[_READ_HEADER_BYTES:])), end
         except ValueError as error:
             raise LogUnavailableError(str(error)) from error
 
     async def _append(self, topic: str, records: Sequence[bytes], at: int) -> AppendResult:
         query = f"topic={quote(topic)}&part=0" + (f"&at={at}" if at >= 0 else "")
-        body = join_records(records)
+        body = encode_records(records)
         detail = ""
-        for way in self._in_turn():
+        for route in self._candidate_routes():
             try:
-                reply = await self._call(way, "POST", f"{PATH_APPEND}?{query}", body, 0.0)
-            except _Unanswered as error:
+                reply = await self._call(route, "POST", f"{PATH_APPEND}?{query}", body, 0.0)
+            except _NoReplyError as error:
                 detail = str(error)
-                if error.may_be_done:
+                if error.may_have_run:
                     return AppendResult(AppendOutcome.UNKNOWN, detail=detail)
                 continue
             if reply.status == 200:
-                return AppendResult(AppendOutcome.APPENDED, offset_of(reply.body))
+                return AppendResult(AppendOutcome.APPENDED, parse_append_offset(reply.body))
             if reply.status == 412:
                 return AppendResult(AppendOutcome.CONDITION_FAILED, detail="HTTP 412")
             detail = f"HTTP {reply.status}"
             if reply.status not in (429, 503):
-                # The store answers these without doing anything: too large, full, malformed.
+                # The store rejects these without any effect: too large, full, malformed.
                 outcome = (
                     AppendOutcome.NOT_APPENDED
                     if 400 <= reply.status < 500 or reply.status == 507
@@ -233,15 +235,15 @@
         return AppendResult(AppendOutcome.NOT_APPENDED, detail=detail)
 
     async def _read_call(self, path: str, wait_s: float) -> StoreReply:
-        """Ask directly, then through peers.
+        """Send a read directly, then through peers.
 
-        :raises LogUnavailableError: when nobody has an answer.
+        :raises LogUnavailableError: when no route gives a usable response.
         """
-        detail = "no way to the store"
-        for way in self._in_turn():
+        detail = "no route to the store"
+        for route in self._candidate_routes():
             try:
-                reply = await self._call(way, "GET", path, b"", wait_s)
-            except _Unanswered as error:
+                reply = await self._call(route, "GET", path, b"", wait_s)
+            except _NoReplyError as error:
                 detail = str(error)
                 continue
             if reply.status in (429, 502, 503, 504):
@@ -250,59 +252,59 @@
             return reply
         raise LogUnavailableError(detail)
 
-    def _in_turn(self) -> Iterator[Way]:
-        """Yield the ways of one call, best first; peers follow a direct way that just failed."""
+    def _candidate_routes(self) -> Iterator[StoreRoute]:
+        """Yield the routes for one call in order; a direct failure is followed by peers."""
         loop = asyncio.get_running_loop()
-        ways = self._ways.first(loop.time())
-        yield from ways
-        if ways[0].is_direct and not self._ways.direct_works:
-            yield from self._ways.through_peers(loop.time())
+        routes = self._routes.candidates(loop.time())
+        yield from routes
+        if routes[0].is_direct and not self._routes.direct_ok:
+            yield from self._routes.via_peers(loop.time())
 
     async def _call(
         self,
-        way: Way,
+        route: StoreRoute,
         method: str,
         path: str,
         body: bytes,
         wait_s: float,
-        patience_s: float = 0.0,
+        timeout_s: float = 0.0,
     ) -> StoreReply:
-        """Send one call one way.
+        """Send one call over one route.
 
-        :raises _Unanswered: when no whole answer came.
+        :raises _NoReplyError: when no complete response arrived.
         """
         timeout = aiohttp.ClientTimeout(
-            total=wait_s + (patience_s or self._patience_s), sock_connect=SHORTEST_PATIENCE_S
+            total=wait_s + (timeout_s or self._timeout_s), sock_connect=MIN_TIMEOUT_S
         )
-        self._observer.counters["store_calls"] += way.is_direct
-        url = URL(f"{way.base}{way.prefix}{path}", encoded=True)
+        self._observer.counters["store_calls"] += route.is_direct
+        url = URL(f"{route.base}{route.prefix}{path}", encoded=True)
         try:
             async with self._session.request(
                 method, url, data=body or None, timeout=timeout
             ) as response:
                 reply = StoreReply(response.status, await response.read())
         except ANSWER_FAULTS as error:
-            self._note(way, works=False, detail=repr(error))
+            self._record_result(route, ok=False, detail=repr(error))
             if isinstance(error, TimeoutError):
-                self._patience_s = min(LONGEST_PATIENCE_S, self._patience_s * 1.6)
-            never_sent = isinstance(error, aiohttp.ClientConnectorError)
-            raise _Unanswered(repr(error), may_be_done=not never_sent) from error
-        self._patience_s = max(SHORTEST_PATIENCE_S, self._patience_s * 0.9)
+                self._timeout_s = min(MAX_TIMEOUT_S, self._timeout_s * 1.6)
+            not_sent = isinstance(error, aiohttp.ClientConnectorError)
+            raise _NoReplyError(repr(error), may_have_run=not not_sent) from error
+        self._timeout_s = max(MIN_TIMEOUT_S, self._timeout_s * 0.9)
         refused = reply.status in (429, 502, 503, 504)
-        self._note(way, works=not refused, detail=f"HTTP {reply.status}")
+        self._record_result(route, ok=not refused, detail=f"HTTP {reply.status}")
         return reply
 
-    def _note(self, way: Way, *, works: bool, detail: str) -> None:
-        if way.is_direct and works != self._ways.direct_works:
-            self._words.warning("direct=%s detail=%s", "regained" if works else "lost", detail)
-        self._ways.note(way, asyncio.get_running_loop().time(), works=works)
-        if not self._ways.direct_works and (self._probing is None or self._probing.done()):
-            self._probing = asyncio.ensure_future(self._probe())
+    def _record_result(self, route: StoreRoute, *, ok: bool, detail: str) -> None:
+        if route.is_direct and ok != self._routes.direct_ok:
+            self._logger.warning("direct=%s detail=%s", "regained" if ok else "lost", detail)
+        self._routes.record_result(route, asyncio.get_running_loop().time(), ok=ok)
+        if not self._routes.direct_ok and (self._probe_task is None or self._probe_task.done()):
+            self._probe_task = asyncio.ensure_future(self._probe())
 
     async def _probe(self) -> None:
-        """Try the direct way until it works, beside the calls that go through peers meanwhile."""
+        """Try the direct route until it succeeds, while calls go through peers."""
         path = f"{PATH_READ}?topic={quote(TOPIC_OPERATOR)}&part=0&from=0&maxKb=1"
-        while not self._ways.direct_works:
-            await asyncio.sleep(PROBE_EVERY_S)
-            with suppress(_Unanswered):
-                await self._call(self._ways.direct, "GET", path, b"", 0.0, PROBE_PATIENCE_S)
+        while not self._routes.direct_ok:
+            await asyncio.sleep(PROBE_INTERVAL_S)
+            with suppress(_NoReplyError):
+                await self._call(self._routes.direct, "GET", path, b"", 0.0, PROBE_TIMEOUT_S)
--- a/samphirecleat/platform/_record_framing.py
+++ b/samphirecleat/platform/_record_framing.py
@@ -1,4 +1,4 @@
-"""How the platform's store frames records, keys and its short answers."""
+"""Encoding of records, record keys and short JSON responses of the platform's store."""
 
 from collections.abc import Iterable, Iterator
 from typing import Any, Final
@@ -10,53 +10,53 @@
 _LENGTH_BYTES: Final = 4
 
 
-def join_records(records: Iterable[bytes]) -> bytes:
-    """Return the body that carries records, each behind its length."""
+def encode_records(records: Iterable[bytes]) -> bytes:
+    """Return a request body of records, each preceded by its length."""
     return b"".join(len(record).to_bytes(_LENGTH_BYTES) + record for record in records)
 
 
-def split_records(body: bytes) -> Iterator[bytes]:
-    """Yield the records of a body.
+def decode_records(body: bytes) -> Iterator[bytes]:
+    """Yield the records of a response body.
 
-    :raises ValueError: when the last one is cut short.
+    :raises ValueError: when the last record is truncated.
     """
-    at = 0
-    while at < len(body):
-        size = int.from_bytes(body[at : at + _LENGTH_BYTES])
-        at += _LENGTH_BYTES
-        if at + size > len(body):
-            raise ValueError("a record is cut short")
-        yield body[at : at + size]
-        at += size
-
-
-def join_key(key: str, value: bytes) -> bytes:
-    """Return the record that carries a value under a key."""
+    position = 0
+    while position < len(body):
+        size = int.from_bytes(body[position : position + _LENGTH_BYTES])
+        position += _LENGTH_BYTES
+        if position + size > len(body):
+            raise ValueError("truncated record")
+        yield body[position : position + size]
+        position += size
+
+
+def encode_keyed_record(key: str, value: bytes) -> bytes:
+    """Return the record of a key and a value."""
     encoded = key.encode()
     return bytes([len(encoded)]) + encoded + value
 
 
-def split_key(record: bytes) -> tuple[str, bytes]:
+def decode_keyed_record(record: bytes) -> tuple[str, bytes]:
     """Return the key and the value of a record.
 
-    :raises IndexError: when it has no key.
-    :raises UnicodeDecodeError: when the key is no text.
+    :raises IndexError: when the record is empty.
+    :raises UnicodeDecodeError: when the key is not valid UTF-8.
     """
     size = record[0]
     return record[1 : 1 + size].decode(), record[1 + size :]
 
 
-def offset_of(body: bytes) -> int:
-    """Return the offset that an append was answered with, -1 for an answer without one."""
-    return _number(body, "offset")
+def parse_append_offset(body: bytes) -> int:
+    """Return the offset in the response to an append, -1 if there is none."""
+    return _parse_integer(body, "offset")
 
 
-def first_kept(body: bytes) -> int:
-    """Return the first offset that is still kept, -1 for an answer without one."""
-    return _number(body, "first")
+def parse_first_offset(body: bytes) -> int:
+    """Return the first retained offset in a response, -1 if there is none."""
+    return _parse_integer(body, "first")
 
 
-def _number(body: bytes, name: str) -> int:
+def _parse_integer(body: bytes, name: str) -> int:
     try:
         number: Any = msgspec.json.decode(body)[name]
         return int(number)
--- a/samphirecleat/platform/_store_ways.py
+++ b/samphirecleat/platform/_store_ways.py
@@ -1,79 +1,80 @@
-"""Which way a call to the store takes: directly, or through a peer that reaches it.
+"""Choice of the route of a call to the store: direct, or through a peer that reaches the store.
 
-Load pattern answered: the store falls silent for a part of the nodes, or a partition keeps one
-from it, for seconds. Every call that tries the dead way first waits until its patience ends, and
-a runner's results wait with it. So a way that failed is left to a probe until it works again, and
-the peer that worked last is asked first.
+Load pattern: for some seconds the store doesn't respond to some of the nodes, or a network
+partition separates a node from it. Every call that tries the failed route first waits for its
+timeout, and so do the results of a runner. Therefore only a probe uses the direct route after a
+failure, until it succeeds again, and the peer that answered last is tried first.
 """
 
 import random
 from collections.abc import Callable, Sequence
 from typing import Final, NamedTuple
 
-# Where a peer passes a call on to the store, and what keeps it from doing so twice.
+# Path prefix of calls that a peer forwards to the store. The peer sends them only directly, never
+# through a further peer.
 RELAY_PREFIX: Final = "/relay"
-PEERS_TRIED: Final = 2
-# A peer that had no answer is passed over this long; it may be cut off as this node is.
-PEER_REST_S: Final = 2.0
+MAX_PEERS_TRIED: Final = 2
+# A peer that failed is skipped for this long; it may be partitioned from the store as well.
+PEER_SKIP_S: Final = 2.0
 
 
-class Way(NamedTuple):
-    """The base of a URL, and what stands before the call's path there."""
+class StoreRoute(NamedTuple):
+    """A base URL and the prefix of the call's path there."""
 
     base: str
     prefix: str
 
     @property
     def is_direct(self) -> bool:
-        """Whether no peer stands between."""
+        """Whether calls go to the store itself and not to a peer."""
         return not self.prefix
 
 
-class StoreWays:
-    """The ways of one node to the store, and which of them work."""
+class StoreRoutes:
+    """The routes of one node to the store, and the result of the last call on each."""
 
     def __init__(
         self, address: str, peers: Callable[[], Sequence[str]], rng: random.Random
     ) -> None:
-        """Start with the direct way to ``address``; ``peers`` gives control addresses."""
+        """Use ``address`` directly at first; ``peers`` returns control addresses."""
         self._peers = peers
         self._rng = rng
-        self.direct = Way(f"http://{address}", "")
-        self.direct_works = True
-        self._good_peer: Way | None = None
-        self._rests_until_s: dict[Way, float] = {}
+        self.direct = StoreRoute(f"http://{address}", "")
+        self.direct_ok = True
+        self._last_good_peer: StoreRoute | None = None
+        self._skipped_until_s: dict[StoreRoute, float] = {}
 
     def set_address(self, address: str) -> None:
-        """Find the store at another address from now on."""
-        self.direct = Way(f"http://{address}", "")
+        """Use the store at another address from now on."""
+        self.direct = StoreRoute(f"http://{address}", "")
 
-    def first(self, now_s: float) -> Sequence[Way]:
-        """Return the ways to try, best first.
+    def candidates(self, now_s: float) -> Sequence[StoreRoute]:
+        """Return the routes to try, in order.
 
-        The list of all nodes, which may be hundreds, is looked at only when it is needed.
+        Reads the list of nodes, which may be hundreds, only if the direct route fails.
         """
-        if self.direct_works:
+        if self.direct_ok:
             return [self.direct]
-        return self.through_peers(now_s) or [self.direct]
+        return self.via_peers(now_s) or [self.direct]
 
-    def through_peers(self, now_s: float) -> Sequence[Way]:
-        """Return some ways through peers, the one that worked last in front."""
-        ways = [Way(f"http://{peer}", RELAY_PREFIX) for peer in self._peers()]
-        rested = [way for way in ways if self._rests_until_s.get(way, 0.0) <= now_s]
-        drawn = self._rng.sample(rested, min(PEERS_TRIED, len(rested)))
-        if self._good_peer in rested:
-            others = [way for way in drawn if way != self._good_peer]
-            drawn = [self._good_peer, *others][:PEERS_TRIED]
-        return drawn
+    def via_peers(self, now_s: float) -> Sequence[StoreRoute]:
+        """Return up to ``MAX_PEERS_TRIED`` routes through peers, the last successful one first."""
+        routes = [StoreRoute(f"http://{peer}", RELAY_PREFIX) for peer in self._peers()]
+        available = [route for route in routes if self._skipped_until_s.get(route, 0.0) <= now_s]
+        chosen = self._rng.sample(available, min(MAX_PEERS_TRIED, len(available)))
+        if self._last_good_peer in available:
+            others = [route for route in chosen if route != self._last_good_peer]
+            chosen = [self._last_good_peer, *others][:MAX_PEERS_TRIED]
+        return chosen
 
-    def note(self, way: Way, now_s: float, *, works: bool) -> None:
-        """Note what became of a call."""
-        if way.is_direct:
-            self.direct_works = works
-        elif works:
-            self._good_peer = way
-            self._rests_until_s.pop(way, None)
+    def record_result(self, route: StoreRoute, now_s: float, *, ok: bool) -> None:
+        """Record whether a call over ``route`` succeeded."""
+        if route.is_direct:
+            self.direct_ok = ok
+        elif ok:
+            self._last_good_peer = route
+            self._skipped_until_s.pop(route, None)
         else:
-            self._rests_until_s[way] = now_s + PEER_REST_S
-            if self._good_peer == way:
-                self._good_peer = None
+            self._skipped_until_s[route] = now_s + PEER_SKIP_S
+            if self._last_good_peer == route:
+                self._last_good_peer = None
--- a/tests/platform/standin_store.py
+++ b/tests/platform/standin_store.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the platform's store, with the failures that its pages name."""
+"""A stand-in of the platform's store that can simulate its documented failures."""
 
 import asyncio
 import json
@@ -11,11 +11,12 @@
 
 
 class StoreStandIn(StandInServer):
-    """Topics of one partition each; ``answers`` says what becomes of the next appends.
+    """A store with one partition per topic.
 
-    ``lost``: done, and the connection closes without an answer. ``late``: as lost, and
-    done by :meth:`apply_late_appends`. A number: that status, and nothing done.
-    ``error_status`` answers every call with a status.
+    ``answers`` holds the results of the next appends. ``lost``: the records are appended, but the
+    connection is closed without a response. ``late``: the connection is closed as well, and the
+    records are appended only by :meth:`apply_late_appends`. A number: the response has that status,
+    and nothing is appended. A nonzero ``error_status`` is the response to every append and read.
     """
 
     def __init__(self) -> None:
@@ -26,8 +27,8 @@
         self.error_status = 0
         self.page_rows = 500
         self.calls = 0
-        self._late: list[tuple[str, bytes]] = []
-        self._news = asyncio.Event()
+        self._late_appends: list[tuple[str, bytes]] = []
+        self._new_records = asyncio.Event()
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
         router.add_post("/v1/log-append", self._append)
@@ -36,26 +37,26 @@
         router.add_post("/v1/log-trim", self._trim)
 
     def put(self, topic: str, key: str, value: object) -> None:
-        """Write a keyed record as an operator or a target does; None drops the key."""
+        """Append a keyed record as an operator or a target does; None deletes the key."""
         name = key.encode()
         content = b"" if value is None else json.dumps(value).encode()
-        self._do_append(topic, [bytes([len(name)]) + name + content])
+        self._append_records(topic, [bytes([len(name)]) + name + content])
 
     def apply_late_appends(self) -> None:
-        """Carry out the appends that are late."""
-        late, self._late = self._late, []
+        """Append the records of late appends."""
+        late, self._late_appends = self._late_appends, []
         for topic, body in late:
-            self._do_append(topic, list(_split(body)))
+            self._append_records(topic, list(_split(body)))
 
     def forget_history(self, topic: str) -> None:
-        """Keep only the newest record of each key."""
+        """Delete the history, so that only the newest record of each key can be read."""
         self.first[topic] = len(self.topics[topic])
 
-    def _do_append(self, topic: str, records: list[bytes]) -> int:
+    def _append_records(self, topic: str, records: list[bytes]) -> int:
         offset = len(self.topics[topic])
         self.topics[topic].extend(records)
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+        new_records, self._new_records = self._new_records, asyncio.Event()
+        new_records.set()
         return offset
 
     async def _append(self, request: web.Request) -> web.StreamResponse:
@@ -74,9 +75,9 @@
         if any(len(record) >= 262_144 for record in records):
             return web.Response(status=400)
         if answer == "late":
-            self._late.append((topic, body))
+            self._late_appends.append((topic, body))
         else:
-            offset = self._do_append(topic, records)
+            offset = self._append_records(topic, records)
         if answer in ("lost", "late"):
             assert request.transport is not None
             request.transport.abort()
@@ -91,10 +92,10 @@
         if start < self.first[topic]:
             return web.json_response({"first": self.first[topic]}, status=410)
         if start >= len(self.topics[topic]):
-            news = self._news
+            new_records = self._new_records
             try:
                 async with asyncio.timeout(int(request.query.get("waitMs", "0")) / 1000.0):
-                    await news.wait()
+                    await new_records.wait()
             except TimeoutError:
                 pass
         records = self.topics[topic][start:]
--- a/tests/platform/test_metadata_store.py
+++ b/tests/platform/test_metadata_store.py
@@ -1,4 +1,4 @@
-"""The client of the store against its stand-in, with what the store may do wrong."""
+"""The metadata store client against a stand-in that fails in the documented ways."""
 
 import asyncio
 import random
@@ -33,7 +33,7 @@
     await store.stop()
 
 
-def test_the_store_is_read_appended_and_followed() -> None:
+def test_topics_are_appended_and_read() -> None:
     async def body() -> None:
         async with store_client() as (stand_in, store):
             stand_in.page_rows = 2
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "at", "want", "done"),
+    ("answer", "at", "expected", "appended"),
     [
         ("", -1, AppendOutcome.APPENDED, 1),
         ("", 0, AppendOutcome.APPENDED, 1),
@@ -75,19 +75,19 @@
         ("late", -1, AppendOutcome.UNKNOWN, 0),
     ],
 )
-def test_the_outcome_of_an_append_says_no_more_than_is_known(
-    answer: str | int, at: int, want: AppendOutcome, done: int
+def test_the_outcome_of_an_append_follows_from_its_response(
+    answer: str | int, at: int, expected: AppendOutcome, appended: int
 ) -> None:
     async def body() -> None:
         async with store_client() as (stand_in, store):
             stand_in.answers = [answer] if answer else []
             result = await store.append("keyed.x", [("k", b"v")], at)
-            assert (result.outcome, len(stand_in.topics["keyed.x"])) == (want, done)
+            assert (result.outcome, len(stand_in.topics["keyed.x"])) == (expected, appended)
 
     asyncio.run(body())
 
 
-def test_a_store_that_is_down_is_said_to_be_away() -> None:
+def test_an_unreachable_store_is_reported_as_unavailable() -> None:
     async def body() -> None:
         async with store_client() as (stand_in, store):
             stand_in.error_status = 503
@@ -102,15 +102,15 @@
     asyncio.run(body())
 
 
-def test_peers_are_asked_for_only_when_the_store_fails() -> None:
-    """Every call of every node would otherwise go through the list of all nodes.
+def test_peers_are_listed_only_when_the_store_fails() -> None:
+    """Guards against listing all nodes for every call.
 
-    In a fleet of hundreds that took more time than the call itself.
+    In a fleet of hundreds of nodes, that took longer than the call itself.
     """
-    asked: list[int] = []
+    peer_listings: list[int] = []
 
     def peers() -> list[str]:
-        asked.append(1)
+        peer_listings.append(1)
         return []
 
     async def body() -> None:
@@ -118,11 +118,11 @@
             await store.read("keyed.x", 0, 0.0)
 
     asyncio.run(body())
-    assert not asked
+    assert not peer_listings
 
 
 class SilentServer:
-    """Takes connections and answers nothing."""
+    """Accepts connections and never responds."""
 
     def __init__(self) -> None:
         self.connections = 0
@@ -142,24 +142,25 @@
 
 
 class RelayStandIn(StoreStandIn):
-    """A peer that reaches the store."""
+    """A peer that forwards calls to the store."""
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
         router.add_post("/relay/v1/log-append", self._append)
         router.add_get("/relay/v1/log-read", self._read)
 
 
-def test_calls_go_through_a_peer_while_the_store_is_silent_for_this_node(
+def test_calls_use_a_peer_while_the_store_does_not_respond_to_this_node(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The store falls silent for a third of the nodes, the runner of a service among them.
+    """Guards against results that wait for a store that doesn't respond to this node.
 
-    Calls that try the silent way again and again each wait until their patience ends, and every
-    result of every step waits with them, although peers reach the store.
+    The store stops responding to a third of the nodes, including the runner of a service. If
+    every call tried the direct route first, each would wait for its timeout, and the results of
+    all steps with it, although peers reach the store.
     """
-    monkeypatch.setattr(store_module, "SHORTEST_PATIENCE_S", 0.2)
-    monkeypatch.setattr(store_module, "PROBE_EVERY_S", 0.05)
-    monkeypatch.setattr(store_module, "PROBE_PATIENCE_S", 30.0)
+    monkeypatch.setattr(store_module, "MIN_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(store_module, "PROBE_INTERVAL_S", 0.05)
+    monkeypatch.setattr(store_module, "PROBE_TIMEOUT_S", 30.0)
 
     async def body() -> None:
         silent, peer = SilentServer(), RelayStandIn()
@@ -169,7 +170,7 @@
             store = MetadataStore(
                 session, address, lambda: [peer.address], Observer("n"), random.Random(1)
             )
-            # The first call meets the silence, and one probe after it; the others do not.
+            # Only the first call and one probe use the direct route.
             await store.read("keyed.x", 0, 0.0)
             for number in range(20):
                 result = await store.append("keyed.x", [("k", b"%d" % number)])
@@ -184,10 +185,10 @@
     asyncio.run(body())
 
 
-def test_the_direct_way_is_taken_again_once_a_probe_was_answered(
+def test_the_direct_route_is_used_again_after_a_successful_probe(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(store_module, "PROBE_EVERY_S", 0.02)
+    monkeypatch.setattr(store_module, "PROBE_INTERVAL_S", 0.02)
 
     async def body() -> None:
         async with store_client() as (stand_in, store):
--- a/tests/platform/test_store_ways.py
+++ b/tests/platform/test_store_ways.py
@@ -1,57 +1,54 @@
-"""Ways to the store: which are tried, in which order."""
+"""Which routes to the store are tried, and in which order."""
 
 import random
 
 import pytest
 
-from samphirecleat.platform._store_ways import PEER_REST_S, PEERS_TRIED, StoreWays, Way
+from samphirecleat.platform._store_ways import MAX_PEERS_TRIED, PEER_SKIP_S, StoreRoute, StoreRoutes
 
 PEERS = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"]
 
 
-def relay(peer: str) -> Way:
-    return Way(f"http://{peer}", "/relay")
+def via_peer(peer: str) -> StoreRoute:
+    return StoreRoute(f"http://{peer}", "/relay")
 
 
-def ways_to(peers: list[str]) -> StoreWays:
-    return StoreWays("10.9.9.9:1", lambda: peers, random.Random(1))
+def routes_to(peers: list[str]) -> StoreRoutes:
+    return StoreRoutes("10.9.9.9:1", lambda: peers, random.Random(1))
 
 
-def test_a_store_that_answers_is_called_directly() -> None:
-    ways = ways_to(PEERS)
-    assert ways.first(0.0) == [ways.direct]
+def test_the_direct_route_is_used_while_it_succeeds() -> None:
+    routes = routes_to(PEERS)
+    assert routes.candidates(0.0) == [routes.direct]
 
 
-@pytest.mark.parametrize(("peers", "tried"), [(PEERS, PEERS_TRIED), (PEERS[:1], 1)])
-def test_after_a_failure_some_peers_are_asked(peers: list[str], tried: int) -> None:
-    ways = ways_to(peers)
-    ways.note(ways.direct, 0.0, works=False)
-    assert len(ways.first(0.0)) == tried
-    assert not any(way.is_direct for way in ways.first(0.0))
+@pytest.mark.parametrize(("peers", "tried"), [(PEERS, MAX_PEERS_TRIED), (PEERS[:1], 1)])
+def test_a_failed_direct_call_is_followed_by_some_peers(peers: list[str], tried: int) -> None:
+    routes = routes_to(peers)
+    routes.record_result(routes.direct, 0.0, ok=False)
+    assert len(routes.candidates(0.0)) == tried
+    assert not any(route.is_direct for route in routes.candidates(0.0))
 
 
-def test_a_node_without_peers_goes_on_trying_the_store() -> None:
-    ways = ways_to([])
-    ways.note(ways.direct, 0.0, works=False)
-    assert ways.first(0.0) == [ways.direct]
+def test_without_peers_the_direct_route_is_still_tried() -> None:
+    routes = routes_to([])
+    routes.record_result(routes.direct, 0.0, ok=False)
+    assert routes.candidates(0.0) == [routes.direct]
 
 
-def test_the_peer_that_worked_last_is_asked_first() -> None:
-    ways = ways_to(PEERS)
-    ways.note(ways.direct, 0.0, works=False)
+def test_the_last_successful_peer_is_tried_first() -> None:
+    routes = routes_to(PEERS)
+    routes.record_result(routes.direct, 0.0, ok=False)
     for peer in PEERS:
-        ways.note(relay(peer), 0.0, works=True)
-        assert [ways.first(at / 10)[0] for at in range(9)] == [relay(peer)] * 9
+        routes.record_result(via_peer(peer), 0.0, ok=True)
+        assert [routes.candidates(at / 10)[0] for at in range(9)] == [via_peer(peer)] * 9
 
 
-def test_a_peer_without_an_answer_is_passed_over_for_a_while() -> None:
-    """A partition keeps some peers from the store as it does this node.
-
-    Asked again each time, they would cost a call its patience each.
-    """
-    ways = ways_to(PEERS)
-    ways.note(ways.direct, 0.0, works=False)
+def test_a_failed_peer_is_skipped_for_a_while() -> None:
+    """Guards against retries of peers in the same partition: each one costs a call its timeout."""
+    routes = routes_to(PEERS)
+    routes.record_result(routes.direct, 0.0, ok=False)
     for peer in PEERS[:3]:
-        ways.note(relay(peer), 0.0, works=False)
-    assert ways.first(PEER_REST_S / 2) == [relay(PEERS[3])]
-    assert len(ways.first(PEER_REST_S)) == PEERS_TRIED
+        routes.record_result(via_peer(peer), 0.0, ok=False)
+    assert routes.candidates(PEER_SKIP_S / 2) == [via_peer(PEERS[3])]
+    assert len(routes.candidates(PEER_SKIP_S)) == MAX_PEERS_TRIED
