--- a/samphirecleat/platform/_call_exchange.py
+++ b/samphirecleat/platform/_call_exchange.py
@@ -1,4 +1,4 @@
-"""One call at one target: sent as it came, and its whole answer checked."""
+"""Sends one call unchanged to one target and checks the complete answer."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -21,17 +21,17 @@
     WORKSPACE,
 )
 
-_OWN_HEADERS: Final = frozenset({EXPECT_INSTANCE.lower(), DEADLINE_MS.lower(), "host"})
-# Set by the connection that an answer came on, or by ours.
-_ANSWER_HEADERS_DROPPED: Final = CONNECTION_HEADERS | {"date", "server"}
-MISDIRECTED: Final = 421
+_REPLACED_HEADERS: Final = frozenset({EXPECT_INSTANCE.lower(), DEADLINE_MS.lower(), "host"})
+# Set by the target's connection or by the connection to the caller.
+_DROPPED_ANSWER_HEADERS: Final = CONNECTION_HEADERS | {"date", "server"}
+MISDIRECTED_STATUS: Final = 421
 
 
 class CallExchange:
-    """Sends calls over kept connections; fills the product's channel for calls."""
+    """Sends calls over persistent connections; implements :class:`CallChannel`."""
 
     def __init__(self, sessions: TargetSessions) -> None:
-        """Use ``sessions`` for connections."""
+        """Send calls through ``sessions``."""
         self._sessions = sessions
 
     async def exchange(self, call: Call, target: Target, budget_s: float) -> TargetAnswer:
@@ -50,11 +50,11 @@
                 timeout=timeout,
             ) as response:
                 body = await response.read()
-                self._sessions.learn_idle(target, response.headers.get("Keep-Alive", ""))
-                fault = fault_of(response, call, target)
+                self._sessions.update_idle_timeout(target, response.headers.get("Keep-Alive", ""))
+                fault = find_fault(response, call, target)
                 if fault is not None:
                     if fault.ran is not Ran.NO:
-                        # What else comes on this connection belongs to no call of ours.
+                        # Further data on this connection can't be assigned to a call.
                         response.close()
                     raise fault
                 return TargetAnswer(
@@ -64,33 +64,33 @@
                     response.headers.get(SIGNATURE, ""),
                 )
         except ANSWER_FAULTS as error:
-            raise lost_answer(target, error) from error
+            raise fault_from_error(target, error) from error
 
 
-def lost_answer(target: Target, error: Exception) -> TargetFault:
-    """Return the fault of a call that ended in an error; it ran nowhere if never sent."""
-    never_sent = isinstance(error, (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError))
+def fault_from_error(target: Target, error: Exception) -> TargetFault:
+    """Return the fault for a client error; a call that was not sent did not run."""
+    not_sent = isinstance(error, (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError))
     return TargetFault(
         f"{target.instance}: {error!r}",
-        Ran.NO if never_sent else Ran.UNKNOWN,
-        cut=not never_sent and is_cut(error),
+        Ran.NO if not_sent else Ran.UNKNOWN,
+        cut=not not_sent and is_cut(error),
     )
 
 
 def target_url(target: Target, raw_path: str) -> URL:
-    """Return the URL of a path at a target, with the path as the caller wrote it."""
+    """Return the URL of a path at a target; the path keeps the encoding of the caller."""
     return URL(f"http://{target.address}{raw_path}", encoded=True)
 
 
 def forwarded_headers(call: Call, target: Target, budget_s: float) -> Sequence[tuple[str, str]]:
-    """Return a caller's headers without those of its connection, and with our own."""
-    named = {
+    """Return a caller's headers without its hop-by-hop headers, plus those that a target needs."""
+    connection_headers = {
         name.strip().lower()
         for key, value in call.headers
         if key.lower() == "connection"
         for name in value.split(",")
     }
-    dropped = CONNECTION_HEADERS | _OWN_HEADERS | named
+    dropped = CONNECTION_HEADERS | _REPLACED_HEADERS | connection_headers
     headers = [(key, value) for key, value in call.headers if key.lower() not in dropped]
     if not any(key.lower() == REQUEST_ID.lower() for key, _ in headers):
         headers.append((REQUEST_ID, call.request_id))
@@ -102,25 +102,27 @@
     return headers
 
 
-def fault_of(response: aiohttp.ClientResponse, call: Call, target: Target) -> TargetFault | None:
-    """Return why an answer can't be passed on, None if its head says that it can."""
-    if response.status == MISDIRECTED:
-        return TargetFault(f"{target.instance}: replaced", Ran.NO, wrong_instance=True)
+def find_fault(response: aiohttp.ClientResponse, call: Call, target: Target) -> TargetFault | None:
+    """Return why an answer can't be forwarded, or None if its status and headers are valid."""
+    if response.status == MISDIRECTED_STATUS:
+        return TargetFault(
+            f"{target.instance}: replaced by another instance", Ran.NO, wrong_instance=True
+        )
     if NOT_RUN in response.headers:
-        return TargetFault(f"{target.instance}: refused", Ran.NO, refused=True)
+        return TargetFault(f"{target.instance}: refused the call", Ran.NO, refused=True)
     if response.headers.get(REQUEST_ID, "") != call.request_id:
-        return TargetFault(f"{target.instance}: answer to another call", Ran.UNKNOWN)
+        return TargetFault(f"{target.instance}: answer belongs to another call", Ran.UNKNOWN)
     if response.headers.get("Content-Encoding"):
-        return TargetFault(f"{target.instance}: encoded body", Ran.UNKNOWN)
+        return TargetFault(f"{target.instance}: answer has an encoded body", Ran.UNKNOWN)
     if 200 <= response.status < 300 and not response.headers.get(SIGNATURE):
-        return TargetFault(f"{target.instance}: no signature", Ran.UNKNOWN)
+        return TargetFault(f"{target.instance}: answer has no signature", Ran.UNKNOWN)
     return None
 
 
 def answer_headers(response: aiohttp.ClientResponse) -> Sequence[tuple[str, str]]:
-    """Return a target's headers without those of its connection."""
+    """Return a target's headers without hop-by-hop headers."""
     return [
         (key, value)
         for key, value in response.headers.items()
-        if key.lower() not in _ANSWER_HEADERS_DROPPED
+        if key.lower() not in _DROPPED_ANSWER_HEADERS
     ]
--- a/samphirecleat/platform/_call_stream.py
+++ b/samphirecleat/platform/_call_stream.py
@@ -1,4 +1,4 @@
-"""One call at one target whose answer is an event stream, passed on event by event."""
+"""Sends one call to one target and forwards the event stream of its answer."""
 
 from collections.abc import AsyncGenerator
 
@@ -7,27 +7,27 @@
 from ._answers import ANSWER_FAULTS
 from ._call_exchange import (
     answer_headers,
-    fault_of,
+    fault_from_error,
+    find_fault,
     forwarded_headers,
-    lost_answer,
     target_url,
 )
-from ._event_stream import EVENT_STREAM, EventFormatError, event_blocks, read_event
+from ._event_stream import EVENT_STREAM, EventFormatError, parse_event, split_events
 from ._target_sessions import TargetSessions
 from ._wire_names import LAST_EVENT_ID, SIGNATURE, VERSION
 
 
 class CallStream:
-    """Streams answers over kept connections; fills the product's channel for streams."""
+    """Streams answers over persistent connections; implements :class:`StreamChannel`."""
 
     def __init__(self, sessions: TargetSessions) -> None:
-        """Use ``sessions`` for connections."""
+        """Send calls through ``sessions``."""
         self._sessions = sessions
 
     async def stream(
         self, call: Call, target: Target, budget_s: float, last_event_id: int
     ) -> AsyncGenerator[TargetAnswer | StreamStart | StreamEvent, None]:
-        """Yield the head and the events of a stream; see :class:`StreamChannel`."""
+        """Yield the start and the events of a stream; see :class:`StreamChannel`."""
         headers = [
             (name, value)
             for name, value in forwarded_headers(call, target, budget_s)
@@ -43,8 +43,8 @@
                 data=call.body or None,
                 allow_redirects=False,
             ) as response:
-                self._sessions.learn_idle(target, response.headers.get("Keep-Alive", ""))
-                fault = fault_of(response, call, target)
+                self._sessions.update_idle_timeout(target, response.headers.get("Keep-Alive", ""))
+                fault = find_fault(response, call, target)
                 if fault is not None:
                     raise fault
                 if response.status != 200 or response.content_type != EVENT_STREAM:
@@ -54,11 +54,11 @@
                     return
                 version = int(response.headers.get(VERSION, "0"))
                 yield StreamStart(response.status, answer_headers(response), version)
-                async for block in event_blocks(response.content):
-                    event = read_event(block, version)
+                async for block in split_events(response.content):
+                    event = parse_event(block, version)
                     version = event.version
                     yield StreamEvent(event.event_id, version, block)
         except EventFormatError as error:
             raise TargetFault(f"{target.instance}: {error}", Ran.UNKNOWN, cut=True) from error
         except ANSWER_FAULTS as error:
-            raise lost_answer(target, error) from error
+            raise fault_from_error(target, error) from error
--- a/samphirecleat/platform/_engine_orders.py
+++ b/samphirecleat/platform/_engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines and their reports; fills the product's channel for orders."""
+"""Sends weight orders to engines and reads their reports; implements :class:`OrderChannel`."""
 
 from typing import Final
 
@@ -24,14 +24,14 @@
 
 
 class EngineOrders:
-    """Sends orders and asks for reports over kept connections."""
+    """Sends orders and report requests over persistent connections."""
 
     def __init__(self, sessions: TargetSessions) -> None:
-        """Use ``sessions`` for connections."""
+        """Send requests through ``sessions``."""
         self._sessions = sessions
 
     async def report(self, target: Target) -> EngineReport | None:
-        """Return an engine's report, None if it gives none; see :class:`OrderChannel`."""
+        """Return an engine's report, or None if it sends none; see :class:`OrderChannel`."""
         timeout = aiohttp.ClientTimeout(total=REPORT_TIMEOUT_S)
         headers = {EXPECT_INSTANCE: target.instance}
         try:
@@ -44,7 +44,7 @@
                 return EngineReport(
                     {row["name"]: int(row["version"]) for row in body["models"]},
                     bool(body["busy"]),
-                    # Named a sequence; it counts the orders that were accepted.
+                    # The platform names the number of accepted orders ``sequence``.
                     int(body["sequence"]),
                     int(body.get("born", 0)),
                 )
--- a/samphirecleat/platform/_event_stream.py
+++ b/samphirecleat/platform/_event_stream.py
@@ -1,4 +1,4 @@
-"""Event streams of engines: bytes cut into whole events, and what an event says."""
+"""Parser of engines' event streams (``text/event-stream``)."""
 
 from collections.abc import AsyncIterator
 from typing import Final, NamedTuple
@@ -7,45 +7,46 @@
 
 from ._wire_names import VERSION
 
-# One event of a few hundred bytes; a stream that sends this much without one is no stream.
-LARGEST_EVENT_BYTES: Final = 4 * 1024 * 1024
+# Events have a few hundred bytes; more than this without an event end is a malformed stream.
+MAX_EVENT_BYTES: Final = 4 * 1024 * 1024
 NO_VERSION: Final = -1
 EVENT_STREAM: Final = "text/event-stream"
 
 
 class EventFormatError(Exception):
-    """Bytes that are no event, or a stream that ended within one."""
+    """A malformed event, or a stream that ended within an event."""
 
 
-class EventLines(NamedTuple):
-    """What the lines of an event say; ``version`` is that of the event before if unnamed."""
+class ParsedEvent(NamedTuple):
+    """The fields of an event; ``version`` defaults to that of the previous event."""
 
     event_id: int
     data: str
     version: int
 
 
-async def event_blocks(content: aiohttp.StreamReader) -> AsyncIterator[bytes]:
-    """Yield the events of a stream, each without the blank line that ends it.
+async def split_events(content: aiohttp.StreamReader) -> AsyncIterator[bytes]:
+    """Yield the events of a stream, each without its terminating blank line.
 
-    :raises EventFormatError: when the stream ends within an event.
+    :raises EventFormatError: when an event exceeds ``MAX_EVENT_BYTES`` or the stream ends within
+        one.
     """
-    held = b""
+    buffer = b""
     async for chunk in content.iter_any():
-        held += chunk
-        *blocks, held = held.split(b"\n\n")
+        buffer += chunk
+        *blocks, buffer = buffer.split(b"\n\n")
         for block in blocks:
             yield block
-        if len(held) > LARGEST_EVENT_BYTES:
-            raise EventFormatError("an event without an end")
-    if held.strip():
-        raise EventFormatError("ended within an event")
+        if len(buffer) > MAX_EVENT_BYTES:
+            raise EventFormatError("event is too large")
+    if buffer.strip():
+        raise EventFormatError("stream ended within an event")
 
 
-def read_event(block: bytes, version: int) -> EventLines:
-    """Return what an event says, made by ``version`` unless it names another.
+def parse_event(block: bytes, version: int) -> ParsedEvent:
+    """Return the fields of an event; ``version`` applies unless the event names another.
 
-    :raises EventFormatError: when it has no id, no data, or nothing names its version.
+    :raises EventFormatError: when the event has no id or no data, or its version is unknown.
     """
     event_id, data = -1, None
     for line in block.decode(errors="replace").split("\n"):
@@ -59,5 +60,5 @@
             case key if key == VERSION.lower() and value.strip().isdigit():
                 version = int(value)
     if event_id < 0 or data is None or version == NO_VERSION:
-        raise EventFormatError(f"not an event: {block[:80]!r}")
-    return EventLines(event_id, data, version)
+        raise EventFormatError(f"malformed event: {block[:80]!r}")
+    return ParsedEvent(event_id, data, version)
--- a/samphirecleat/platform/_generation_stream.py
+++ b/samphirecleat/platform/_generation_stream.py
@@ -1,4 +1,4 @@
-"""One run of an item at an engine: an event stream read into pieces."""
+"""Runs one item at an engine and reads the event stream of the answer."""
 
 from collections.abc import AsyncGenerator, Sequence
 from typing import Final
@@ -9,8 +9,8 @@
 from ..serving import Target
 from ..targets import is_cut
 from ._answers import ANSWER_FAULTS
-from ._call_exchange import MISDIRECTED, target_url
-from ._event_stream import NO_VERSION, EventFormatError, event_blocks, read_event
+from ._call_exchange import MISDIRECTED_STATUS, target_url
+from ._event_stream import NO_VERSION, EventFormatError, parse_event, split_events
 from ._target_sessions import TargetSessions
 from ._wire_names import (
     DEADLINE_MS,
@@ -24,15 +24,15 @@
     WORKSPACE,
 )
 
-IMPOSSIBLE: Final = 422
-FAILED: Final = 500
+IMPOSSIBLE_STATUS: Final = 422
+FAILED_STATUS: Final = 500
 
 
 class GenerationStream:
-    """Streams items from engines; fills the product's channel for generations."""
+    """Streams items from engines; implements :class:`GenerationChannel`."""
 
     def __init__(self, sessions: TargetSessions) -> None:
-        """Use ``sessions`` for connections."""
+        """Send calls through ``sessions``."""
         self._sessions = sessions
 
     async def generate(self, call: GenerationCall, target: Target) -> AsyncGenerator[Piece, None]:
@@ -55,13 +55,13 @@
             async with session.post(
                 url, headers=headers, data=call.body, allow_redirects=False
             ) as response:
-                self._sessions.learn_idle(target, response.headers.get("Keep-Alive", ""))
-                await _check_start(response, call)
-                # An engine that is asked to go on behind the last event makes nothing and
-                # names no version; its stream ends at once, which is the end of the text.
+                self._sessions.update_idle_timeout(target, response.headers.get("Keep-Alive", ""))
+                await _check_response(response, call)
+                # An engine asked to resume after the last event generates nothing and sends no
+                # version. Its stream ends at once, which is a regular end of the text.
                 version = int(response.headers.get(VERSION, NO_VERSION))
-                async for block in event_blocks(response.content):
-                    event = read_event(block, version)
+                async for block in split_events(response.content):
+                    event = parse_event(block, version)
                     version = event.version
                     yield Piece(*event)
         except EventFormatError as error:
@@ -74,29 +74,33 @@
 
 
 def item_headers(call: GenerationCall) -> Sequence[tuple[str, str]]:
-    """Return an item's own headers; where it belongs to a workspace, none that names another."""
+    """Return an item's own headers, without identity headers if it belongs to a workspace."""
     if not call.workspace:
         return call.headers
     return [(name, value) for name, value in call.headers if name.lower() not in IDENTITY_HEADERS]
 
 
-async def _check_start(response: aiohttp.ClientResponse, call: GenerationCall) -> None:
-    """Check that the answer is the stream of this item.
+async def _check_response(response: aiohttp.ClientResponse, call: GenerationCall) -> None:
+    """Check that the response is the event stream of this item.
 
-    :raises GenerationError: when it is not.
+    :raises GenerationError: when it isn't.
     """
-    if response.status == MISDIRECTED:
-        raise GenerationError("replaced", GenerationEnd.WRONG_INSTANCE)
+    if response.status == MISDIRECTED_STATUS:
+        raise GenerationError(
+            "target was replaced by another instance", GenerationEnd.WRONG_INSTANCE
+        )
     if NOT_RUN in response.headers:
         await response.read()
-        raise GenerationError(f"refused with {response.status}", GenerationEnd.REFUSED)
+        raise GenerationError(
+            f"engine refused the run with HTTP {response.status}", GenerationEnd.REFUSED
+        )
     if response.headers.get(REQUEST_ID) != call.item_id:
         response.close()
-        raise GenerationError("answer to another call", GenerationEnd.BROKEN)
-    if response.status == IMPOSSIBLE:
-        raise GenerationError("can never be done", GenerationEnd.IMPOSSIBLE)
-    if response.status == FAILED:
+        raise GenerationError("response belongs to another call", GenerationEnd.BROKEN)
+    if response.status == IMPOSSIBLE_STATUS:
+        raise GenerationError("engine can never run this item", GenerationEnd.IMPOSSIBLE)
+    if response.status == FAILED_STATUS:
         await response.read()
-        raise GenerationError("failed", GenerationEnd.FAILED)
+        raise GenerationError("run failed at the engine", GenerationEnd.FAILED)
     if response.status != 200 or response.headers.get("Content-Encoding"):
         raise GenerationError(f"HTTP {response.status}", GenerationEnd.BROKEN)
--- a/samphirecleat/platform/_target_sessions.py
+++ b/samphirecleat/platform/_target_sessions.py
@@ -1,4 +1,4 @@
-"""Connections to targets: kept and reused, one pool for each start of a target."""
+"""Persistent connections to targets, with one pool per process start of a target."""
 
 import math
 from collections.abc import Mapping
@@ -11,25 +11,29 @@
 from ..serving import Target
 from ..targets import make_connector, make_strict
 
-# How long a connection may idle before the target has said how long it keeps one.
-FIRST_IDLE_S: Final = 4.0
-# Closed this long before the target would, so that a call never meets that close.
-IDLE_MARGIN_S: Final = 0.8
-# The kernel gives a connection up when its path is silent this long.
-SILENT_AFTER_S: Final = 1.0
+# Idle timeout of connections until a target of the service sends its own.
+DEFAULT_IDLE_TIMEOUT_S: Final = 4.0
+# An idle connection is closed this long before the target closes it, so that no call is sent on a
+# connection that is being closed.
+IDLE_TIMEOUT_MARGIN_S: Final = 0.8
+# TCP keepalive probes start after this time without traffic; the kernel closes a connection whose
+# probes get no response.
+KEEPALIVE_PROBE_AFTER_S: Final = 1.0
 CONNECT_TIMEOUT_S: Final = 0.5
-_NO_HEADERS: Final = frozenset({"User-Agent", "Accept", "Accept-Encoding", "Content-Type"})
+_SKIPPED_AUTO_HEADERS: Final = frozenset(
+    {"User-Agent", "Accept", "Accept-Encoding", "Content-Type"}
+)
 
 
 class TargetSessions:
-    """A client session for each target, closed when the target is gone."""
+    """A client session per target, closed when the target is gone."""
 
     def __init__(self, observer: Observer) -> None:
-        """Start without connections; ``observer`` counts the new ones of each service."""
+        """Start without connections; ``observer`` counts new connections by service."""
         self._counters = observer.counters
         self._sessions: dict[tuple[str, str, int], aiohttp.ClientSession] = {}
         self._services: dict[tuple[str, str, int], str] = {}
-        self._idle_s: dict[str, float] = {}
+        self._idle_timeouts_s: dict[str, float] = {}
         self._closing: list[aiohttp.ClientSession] = []
 
     def get(self, target: Target) -> aiohttp.ClientSession:
@@ -42,27 +46,27 @@
         return session
 
     def idle_timeout_s(self, service: str) -> float:
-        """Return how long connections to a service's targets are kept idle."""
-        return self._idle_s.get(service, FIRST_IDLE_S)
+        """Return the idle timeout of connections to the targets of a service, in seconds."""
+        return self._idle_timeouts_s.get(service, DEFAULT_IDLE_TIMEOUT_S)
 
-    def learn_idle(self, target: Target, keep_alive: str) -> None:
-        """Take a ``Keep-Alive`` header: the whole seconds after which the target closes."""
+    def update_idle_timeout(self, target: Target, keep_alive: str) -> None:
+        """Update the idle timeout of a service from a ``Keep-Alive`` header, in whole seconds."""
         for part in keep_alive.split(","):
             name, _, value = part.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit():
-                idle_s = max(0.2, int(value) - IDLE_MARGIN_S)
-                if not math.isclose(self._idle_s.get(target.service, -1.0), idle_s):
-                    self._idle_s[target.service] = idle_s
-                    self._apply_idle(target.service, idle_s)
+                timeout_s = max(0.2, int(value) - IDLE_TIMEOUT_MARGIN_S)
+                if not math.isclose(self._idle_timeouts_s.get(target.service, -1.0), timeout_s):
+                    self._idle_timeouts_s[target.service] = timeout_s
+                    self._apply_idle_timeout(target.service, timeout_s)
 
     async def close_stale(self, targets: Mapping[str, Target]) -> None:
-        """Close the sessions of starts that are gone."""
+        """Close the sessions of targets that are gone or were restarted since."""
         present = {(t.instance, t.address, t.started_at_ms) for t in targets.values()}
         for key in [key for key in self._sessions if key not in present]:
             self._closing.append(self._sessions.pop(key))
             del self._services[key]
         for session in self._closing:
-            # Calls under way keep their connection until they end.
+            # Calls in flight keep their connection until they end.
             connector = session.connector
             if connector is not None and not getattr(connector, "_acquired", ()):
                 await session.close()
@@ -74,34 +78,34 @@
             await session.close()
 
     def _open(self, service: str) -> aiohttp.ClientSession:
-        idle_s = self.idle_timeout_s(service)
-        pool = make_connector(SILENT_AFTER_S, keepalive_timeout_s=idle_s)
-        connector = make_strict(pool, partial(self._count, service))
+        idle_timeout_s = self.idle_timeout_s(service)
+        pool = make_connector(KEEPALIVE_PROBE_AFTER_S, keepalive_timeout_s=idle_timeout_s)
+        connector = make_strict(pool, partial(self._count_connection, service))
         session = aiohttp.ClientSession(
             connector=connector,
-            skip_auto_headers=_NO_HEADERS,
+            skip_auto_headers=_SKIPPED_AUTO_HEADERS,
             auto_decompress=False,
             cookie_jar=aiohttp.DummyCookieJar(),
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
             max_line_size=65536,
             max_field_size=65536,
         )
-        # The library would send a call again by itself when a kept connection closes under it,
-        # which may have run it; it has no parameter for that.
+        # aiohttp resends a call when a reused connection closes, although the target may have run
+        # it. There is no public parameter to turn that off.
         session._retry_connection = False
         return session
 
-    def _count(self, service: str) -> None:
-        """Count a new connection: each holds a target up for a moment."""
+    def _count_connection(self, service: str) -> None:
+        """Count a new connection; each one briefly delays its target."""
         self._counters[f"connections_made_{service}"] += 1
 
-    def _apply_idle(self, service: str, idle_s: float) -> None:
-        """Have every target of a service keep connections so long.
+    def _apply_idle_timeout(self, service: str, idle_timeout_s: float) -> None:
+        """Set the idle timeout of all open sessions of a service.
 
-        All sessions that were opened before the first answer came have the first guess. With
-        that their connections would be closed between two bursts of calls, and opened again.
+        Sessions opened before the first response have the default. With that, their connections
+        would be closed and reopened between two bursts of calls.
         """
         for key, session in self._sessions.items():
             if self._services[key] == service and session.connector is not None:
-                # The library has no setter; a new pool would cost every connection in use.
-                session.connector._keepalive_timeout = idle_s
+                # aiohttp has no setter, and a new pool would drop all connections in use.
+                session.connector._keepalive_timeout = idle_timeout_s
--- a/tests/platform/standin_targets.py
+++ b/tests/platform/standin_targets.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's targets: engines that stream items, and plain services."""
+"""Stand-in of the platform's targets: engines that stream items, and plain services."""
 
 import asyncio
 from collections import Counter
@@ -9,11 +9,12 @@
 
 
 class TargetStandIn(StandInServer):
-    """A target that runs calls, streams items, and takes orders.
+    """A target that runs calls, streams items, and accepts orders.
 
-    ``answers`` says what becomes of the next calls: ``refused``, ``reset``, ``other id``,
-    ``no signature``, ``cut``, ``surplus``, ``encoded`` or a status. Behind the event
-    ``pause_after`` a stream waits for ``resume``; ``disconnected`` is set when its caller leaves.
+    ``answers`` holds the results of the next calls: ``refused``, ``reset``, ``other id``,
+    ``no signature``, ``cut``, ``encoded`` or a status. After the event number ``pause_after``, a
+    stream waits until ``resume`` is set. ``disconnected`` is set when its caller disconnects
+    meanwhile.
     """
 
     def __init__(self, instance: str, *, events: int = 5, pause_s: float = 0.005) -> None:
@@ -96,12 +97,14 @@
         headers["Content-Type"] = "text/event-stream"
         response = web.StreamResponse(headers=headers)
         await response.prepare(request)
-        told = self.version
+        sent_version = self.version
         for number in range(first, self.events + 1):
             await asyncio.sleep(self.pause_s)
-            changed = f"x-weight-versions: {self.version}\n" if self.version != told else ""
-            told = self.version
-            event = f"{changed}id: {number}\ndata: {number}.{self.events}\n\n".encode()
+            version_line = (
+                f"x-weight-versions: {self.version}\n" if self.version != sent_version else ""
+            )
+            sent_version = self.version
+            event = f"{version_line}id: {number}\ndata: {number}.{self.events}\n\n".encode()
             if cut and number == self.events // 2 + 1:
                 await response.write(event[: len(event) // 2])
                 assert request.transport is not None
--- a/tests/platform/test_target_channels.py
+++ b/tests/platform/test_target_channels.py
@@ -1,4 +1,4 @@
-"""Calls, streams and orders against stand-ins of targets, with what they may do wrong."""
+"""Calls, streams and orders against stand-ins of targets that simulate failures."""
 
 import asyncio
 import errno
@@ -20,8 +20,8 @@
 from samphirecleat.observe import Observer
 from samphirecleat.platform._call_exchange import (
     CallExchange,
+    fault_from_error,
     forwarded_headers,
-    lost_answer,
     target_url,
 )
 from samphirecleat.platform._engine_orders import EngineOrders
@@ -33,7 +33,9 @@
 
 
 @asynccontextmanager
-async def target_of(**options: int) -> AsyncIterator[tuple[TargetStandIn, Target, TargetSessions]]:
+async def running_target(
+    **options: int,
+) -> AsyncIterator[tuple[TargetStandIn, Target, TargetSessions]]:
     stand_in = TargetStandIn("i-1", **options)
     await stand_in.start()
     sessions = TargetSessions(Observer("n1"))
@@ -42,7 +44,7 @@
     await stand_in.stop()
 
 
-def a_call(raw_path: str = "/x/1") -> Call:
+def make_call(raw_path: str = "/x/1") -> Call:
     headers = [
         ("X-Request-Id", "q1"),
         ("X-Odd", "Ä".encode().decode("latin-1")),
@@ -56,10 +58,10 @@
 
 
 @pytest.mark.parametrize("raw_path", ["/x/1", "/x/%2F/..//a%20b?q=%41&q=+&&", "/x/?a=b?c"])
-def test_a_call_reaches_its_target_as_it_came(raw_path: str) -> None:
+def test_a_call_reaches_its_target_unchanged(raw_path: str) -> None:
     async def body() -> None:
-        async with target_of() as (stand_in, target, sessions):
-            answer = await CallExchange(sessions).exchange(a_call(raw_path), target, 1.5)
+        async with running_target() as (stand_in, target, sessions):
+            answer = await CallExchange(sessions).exchange(make_call(raw_path), target, 1.5)
             assert (answer.status, answer.body, answer.signature) == (
                 200,
                 b"answer to q1",
@@ -74,9 +76,9 @@
     asyncio.run(body())
 
 
-def test_headers_of_the_connection_stay_behind() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     target = Target("i-1", "s", "127.0.0.1:1", "z", 4, False)
-    names = [name for name, _ in forwarded_headers(a_call(), target, 1.0)]
+    names = [name for name, _ in forwarded_headers(make_call(), target, 1.0)]
     assert names == ["X-Request-Id", "X-Odd", "X-Odd", "Host", "X-Deadline-Ms", "X-Expect-Instance"]
     assert str(target_url(target, "/a//b")) == "http://127.0.0.1:1/a//b"
 
@@ -92,30 +94,30 @@
         ("encoded", Ran.UNKNOWN),
     ],
 )
-def test_an_answer_that_is_not_whole_and_its_own_is_not_passed_on(answer: str, ran: Ran) -> None:
-    """A target cuts an answer off, or answers another call on a kept connection.
+def test_an_incomplete_or_foreign_answer_is_not_forwarded(answer: str, ran: Ran) -> None:
+    """Guards against a caller that receives half a quote or the quote of another caller.
 
-    Passed on, a caller would take half a quote, or somebody else's, for its own.
+    A target truncates an answer, or answers another call on a reused connection.
     """
 
     async def body() -> None:
-        async with target_of() as (stand_in, target, sessions):
+        async with running_target() as (stand_in, target, sessions):
             exchange = CallExchange(sessions)
             stand_in.answers = [answer]
             with pytest.raises(TargetFault) as raised:
-                await exchange.exchange(a_call(), target, 1.5)
+                await exchange.exchange(make_call(), target, 1.5)
             assert raised.value.ran is ran
-            assert (await exchange.exchange(a_call(), target, 1.5)).status == 200
+            assert (await exchange.exchange(make_call(), target, 1.5)).status == 200
 
     asyncio.run(body())
 
 
-def test_a_replaced_target_and_a_closed_port_ran_nothing() -> None:
+def test_a_call_to_a_replaced_target_or_a_closed_port_did_not_run() -> None:
     async def body() -> None:
-        async with target_of() as (stand_in, target, sessions):
+        async with running_target() as (stand_in, target, sessions):
             for other in (target._replace(instance="i-0"), target._replace(address="127.0.0.1:9")):
                 with pytest.raises(TargetFault) as raised:
-                    await CallExchange(sessions).exchange(a_call(), other, 1.5)
+                    await CallExchange(sessions).exchange(make_call(), other, 1.5)
                 assert raised.value.ran is Ran.NO
             assert not stand_in.runs
 
@@ -123,10 +125,10 @@
 
 
 async def generate(
-    sessions: TargetSessions, target: Target, last: int = 0
+    sessions: TargetSessions, target: Target, last_event_id: int = 0
 ) -> tuple[list[Piece], GenerationError | None]:
     pieces: list[Piece] = []
-    call = GenerationCall("i1", "h", "/run/1", [("X-Model", "m")], b"p", last, 5.0, 5)
+    call = GenerationCall("i1", "h", "/run/1", [("X-Model", "m")], b"p", last_event_id, 5.0, 5)
     try:
         async for piece in GenerationStream(sessions).generate(call, target):
             pieces.append(piece)
@@ -135,18 +137,18 @@
     return pieces, None
 
 
-def test_a_broken_stream_goes_on_behind_its_last_whole_event() -> None:
+def test_a_broken_stream_resumes_after_its_last_complete_event() -> None:
     async def body() -> None:
-        async with target_of(events=6) as (stand_in, target, sessions):
+        async with running_target(events=6) as (stand_in, target, sessions):
             stand_in.answers = ["cut"]
             first, error = await generate(sessions, target)
             assert error is not None
             assert error.reason is GenerationEnd.BROKEN
             assert [p.event_id for p in first] == [1, 2, 3]
             stand_in.version = 2
-            rest, error = await generate(sessions, target, last=3)
+            remaining, error = await generate(sessions, target, last_event_id=3)
             assert error is None
-            assert [(p.event_id, p.data, p.version) for p in rest] == [
+            assert [(p.event_id, p.data, p.version) for p in remaining] == [
                 (4, "4.6", 2),
                 (5, "5.6", 2),
                 (6, "6.6", 2),
@@ -155,16 +157,16 @@
     asyncio.run(body())
 
 
-def test_a_stream_asked_for_behind_its_last_event_is_empty_and_whole() -> None:
-    """A run is moved just as its last event came, before its end was seen.
+def test_a_stream_resumed_after_its_last_event_is_empty_and_complete() -> None:
+    """Guards against an item that is requested again until its step ends.
 
-    The engine that goes on has nothing to make and names no version. Taken for a fault, the
-    item was asked for again until its step was over.
+    A run is moved to another engine after its last event but before the end of its stream. The
+    new engine has nothing to generate and sends no version, which must not count as a fault.
     """
 
     async def body() -> None:
-        async with target_of(events=3) as (_stand_in, target, sessions):
-            assert await generate(sessions, target, last=3) == ([], None)
+        async with running_target(events=3) as (_stand_in, target, sessions):
+            assert await generate(sessions, target, last_event_id=3) == ([], None)
 
     asyncio.run(body())
 
@@ -180,9 +182,11 @@
         ("reset", GenerationEnd.BROKEN),
     ],
 )
-def test_a_run_that_does_not_start_says_why(answer: str | int, reason: GenerationEnd) -> None:
+def test_a_run_that_does_not_start_raises_its_reason(
+    answer: str | int, reason: GenerationEnd
+) -> None:
     async def body() -> None:
-        async with target_of() as (stand_in, target, sessions):
+        async with running_target() as (stand_in, target, sessions):
             stand_in.answers = [answer]
             pieces, error = await generate(sessions, target)
             assert (pieces, error.reason if error else None) == ([], reason)
@@ -190,9 +194,9 @@
     asyncio.run(body())
 
 
-def test_orders_are_answered_by_what_the_engine_had_accepted() -> None:
+def test_an_order_is_accepted_only_with_the_current_order_count() -> None:
     async def body() -> None:
-        async with target_of() as (_stand_in, target, sessions):
+        async with running_target() as (_stand_in, target, sessions):
             orders = EngineOrders(sessions)
             report = await orders.report(target)
             assert report is not None
@@ -200,9 +204,9 @@
             order = Order("m", 2, "n1", 41, 0, True)
             assert await orders.order(target, order, 1.0) is OrderOutcome.ACCEPTED
             assert await orders.order(target, order, 1.0) is OrderOutcome.CONFLICT
-            gone = target._replace(address="127.0.0.1:9")
-            assert await orders.order(gone, order, 1.0) is OrderOutcome.REJECTED
-            assert await orders.report(gone) is None
+            unreachable = target._replace(address="127.0.0.1:9")
+            assert await orders.order(unreachable, order, 1.0) is OrderOutcome.REJECTED
+            assert await orders.report(unreachable) is None
 
     asyncio.run(body())
 
@@ -221,25 +225,25 @@
     ],
     ids=lambda value: type(value).__name__,
 )
-def test_a_fault_tells_a_connection_that_its_target_closed_from_a_silent_one(
+def test_a_fault_distinguishes_a_closed_connection_from_a_silent_one(
     error: Exception, cut: bool
 ) -> None:
-    """Only a target that closed the connection may have ended under the call."""
-    fault = lost_answer(Target("t", "svc", "127.0.0.1:1", "z", 1, False), error)
+    """Only a target that closed the connection may have crashed during the call."""
+    fault = fault_from_error(Target("t", "svc", "127.0.0.1:1", "z", 1, False), error)
     assert (fault.cut, fault.ran) == (cut, Ran.UNKNOWN)
 
 
-def test_a_call_on_a_kept_connection_that_its_target_closes_is_sent_once() -> None:
-    """A target ends while it runs a GET that came on a kept connection.
+def test_a_call_on_a_reused_connection_that_its_target_closes_is_sent_once() -> None:
+    """Guards against the retry by aiohttp of a GET on a reused connection.
 
-    The client library sends such a call again by itself. Refused by then, it looked as if it
-    had never been sent: its caller was told "not run", and its end was counted against nobody.
+    The target ends while it runs the call. The second attempt was refused, so the call seemed not
+    to have been sent: its caller was told "not run", and the crash was attributed to no call.
     """
 
     async def body() -> None:
-        async with target_of() as (stand_in, target, sessions):
+        async with running_target() as (stand_in, target, sessions):
             exchange = CallExchange(sessions)
-            call = a_call()._replace(method="GET", body=b"")
+            call = make_call()._replace(method="GET", body=b"")
             await exchange.exchange(call, target, 2.0)
             stand_in.answers = ["reset"]
             with pytest.raises(TargetFault) as raised:
--- a/tests/platform/test_target_sessions.py
+++ b/tests/platform/test_target_sessions.py
@@ -1,11 +1,15 @@
-"""How long connections to targets are kept idle."""
+"""Idle timeouts of connections to targets."""
 
 import asyncio
 
 import pytest
 
 from samphirecleat.observe import Observer
-from samphirecleat.platform._target_sessions import FIRST_IDLE_S, IDLE_MARGIN_S, TargetSessions
+from samphirecleat.platform._target_sessions import (
+    DEFAULT_IDLE_TIMEOUT_S,
+    IDLE_TIMEOUT_MARGIN_S,
+    TargetSessions,
+)
 from samphirecleat.serving import Target
 
 
@@ -14,40 +18,40 @@
 
 
 @pytest.mark.parametrize(
-    ("other", "service", "want_s"),
-    [("t1", "svc", 10.0 - IDLE_MARGIN_S), ("t2", "svc", 10.0 - IDLE_MARGIN_S),
-     ("t3", "another", FIRST_IDLE_S)],
-    ids=["the same target", "one of its service", "one of another service"],
+    ("other", "service", "expected_s"),
+    [("t1", "svc", 10.0 - IDLE_TIMEOUT_MARGIN_S), ("t2", "svc", 10.0 - IDLE_TIMEOUT_MARGIN_S),
+     ("t3", "another", DEFAULT_IDLE_TIMEOUT_S)],
+    ids=["the same target", "target of its service", "target of another service"],
 )  # fmt: skip
-def test_what_one_target_says_of_idle_connections_holds_for_its_service(
-    other: str, service: str, want_s: float
+def test_the_idle_timeout_of_one_target_applies_to_its_service(
+    other: str, service: str, expected_s: float
 ) -> None:
-    """Calls go to all targets of a service before the first one answers.
+    """Guards against connections that are closed and reopened between two bursts of calls.
 
-    Only that one's connections would be kept as long as the service allows. Those of the others
-    are closed after the first guess, between two bursts of calls, and opened again for each.
+    Calls go to all targets of a service before the first one responds. If its idle timeout
+    applied to its own connections only, those of the others would be closed after the default.
     """
 
     async def body() -> None:
         sessions = TargetSessions(Observer("n1"))
         opened = sessions.get(target(other, service))
         sessions.get(target("t1"))
-        sessions.learn_idle(target("t1"), "timeout=10")
+        sessions.update_idle_timeout(target("t1"), "timeout=10")
         assert opened.connector is not None
-        assert opened.connector._keepalive_timeout == pytest.approx(want_s)
-        assert sessions.idle_timeout_s(service) == pytest.approx(want_s)
+        assert opened.connector._keepalive_timeout == pytest.approx(expected_s)
+        assert sessions.idle_timeout_s(service) == pytest.approx(expected_s)
         await sessions.close()
 
     asyncio.run(body())
 
 
-def test_a_target_seen_later_keeps_what_was_learned() -> None:
+def test_a_new_target_uses_the_idle_timeout_of_its_service() -> None:
     async def body() -> None:
         sessions = TargetSessions(Observer("n1"))
-        sessions.learn_idle(target("t1"), "max=5, timeout=10")
+        sessions.update_idle_timeout(target("t1"), "max=5, timeout=10")
         opened = sessions.get(target("t9"))
         assert opened.connector is not None
-        assert opened.connector._keepalive_timeout == pytest.approx(10.0 - IDLE_MARGIN_S)
+        assert opened.connector._keepalive_timeout == pytest.approx(10.0 - IDLE_TIMEOUT_MARGIN_S)
         await sessions.close()
 
     asyncio.run(body())
