--- a/samphirecleat/platform/_host_list.py
+++ b/samphirecleat/platform/_host_list.py
@@ -1,4 +1,4 @@
-"""The platform's host list: live and leaving hosts, always a little late."""
+"""Client of the platform's host list of live and leaving hosts, which lags behind slightly."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -9,9 +9,9 @@
 
 
 class ListedHost(NamedTuple):
-    """One row of the host list; ``service`` is ``entry`` for a node of ours.
+    """One row of the host list; ``service`` is ``entry`` for a node of this system.
 
-    ``address`` is where a target listens, or a node's peer address.
+    ``address`` is the listen address of a target or the peer address of a node.
     """
 
     address: str
@@ -21,16 +21,16 @@
 
 
 class HostListUnavailableError(Exception):
-    """The host list gave no answer."""
+    """The host list gave no usable response."""
 
 
 class HttpHostList:
-    """The host list over HTTP."""
+    """Client of the host list over HTTP."""
 
     def __init__(
         self, session: aiohttp.ClientSession, base_url: str, *, timeout_s: float = 2.0
     ) -> None:
-        """Talk to the host list at ``base_url``."""
+        """Use the host list at ``base_url``; each call takes at most ``timeout_s``."""
         self._session = session
         self._base_url = base_url
         self._timeout_s = timeout_s
@@ -38,7 +38,7 @@
     async def read(self) -> Sequence[ListedHost]:
         """Return the rows of the list.
 
-        :raises HostListUnavailableError: when it gives no usable answer.
+        :raises HostListUnavailableError: when there is no usable response.
         """
         timeout = aiohttp.ClientTimeout(total=self._timeout_s)
         try:
--- a/samphirecleat/platform/_log.py
+++ b/samphirecleat/platform/_log.py
@@ -1,4 +1,4 @@
-"""The platform's append-only log: what we need of it, and its HTTP client."""
+"""Interface and HTTP client of the platform's append-only log."""
 
 from collections.abc import Mapping, Sequence
 from enum import Enum
@@ -14,7 +14,7 @@
 
 
 class AppendOutcome(Enum):
-    """What is known of an append after its answer, or the lack of one."""
+    """Whether an append took effect, as far as the response tells."""
 
     APPENDED = "appended"
     NOT_APPENDED = "not_appended"
@@ -22,7 +22,7 @@
 
 
 class AppendResult(NamedTuple):
-    """The outcome of one append; ``offset`` is -1 unless it is APPENDED."""
+    """The result of one append; ``offset`` is -1 unless ``outcome`` is APPENDED."""
 
     outcome: AppendOutcome
     offset: int = -1
@@ -32,8 +32,8 @@
 class LogBatch(NamedTuple):
     """Records read from a stream, in offset order.
 
-    ``first_kept_offset`` is the oldest offset that the log still holds;
-    ``next_offset`` is where the next read starts.
+    ``first_kept_offset`` is the oldest offset that the log retains; ``next_offset`` is where the
+    next read starts.
     """
 
     records: Sequence[LogRecord]
@@ -42,36 +42,36 @@
 
 
 class LogUnavailableError(Exception):
-    """The log could not be read: it is down, slow, or out of reach."""
+    """The log could not be read because it is down, slow or unreachable."""
 
 
 class Log(Protocol):
-    """What the system needs of the log."""
+    """Append and read operations of the log."""
 
     async def append(self, stream: str, payload: Mapping[str, Any]) -> AppendResult:
-        """Append one record; never raises for a failure of the log."""
+        """Append one record; a failure of the log is reported in the result, never raised."""
         ...
 
     async def read(
         self, stream: str, from_offset: int, wait_s: float, *, timeout_s: float
     ) -> LogBatch:
-        """Read on from an offset, waiting up to ``wait_s`` for a first record.
+        """Read records from an offset on, waiting up to ``wait_s`` for a first record.
 
-        The answer may take ``timeout_s`` beyond the wait. Offsets of one stream
-        follow each other without gaps.
+        The response may take ``timeout_s`` longer than the wait. The offsets of a stream have no
+        gaps.
 
-        :raises LogUnavailableError: when the log gives no answer.
+        :raises LogUnavailableError: when the log gives no usable response.
         """
         ...
 
 
 class HttpLog:
-    """The log over HTTP; one session is shared with the rest of the process."""
+    """Client of the log over HTTP; the process shares one session."""
 
     def __init__(
         self, session: aiohttp.ClientSession, base_url: str, *, timeout_s: float = 3.0
     ) -> None:
-        """Talk to the log at ``base_url``, at most ``timeout_s`` beyond any wait."""
+        """Use the log at ``base_url``; ``timeout_s`` limits each append."""
         self._session = session
         self._base_url = base_url
         self._timeout_s = timeout_s
@@ -86,7 +86,7 @@
                     body = await response.json()
                     return AppendResult(AppendOutcome.APPENDED, int(body["offset"]))
                 if response.status in (400, 413, 429):
-                    # The log answers these before it takes the record.
+                    # The log sends these without appending the record.
                     return AppendResult(
                         AppendOutcome.NOT_APPENDED, detail=f"HTTP {response.status}"
                     )
@@ -94,13 +94,13 @@
         except aiohttp.ClientConnectorError as error:
             return AppendResult(AppendOutcome.NOT_APPENDED, detail=str(error))
         except ANSWER_FAULTS as error:
-            # The record may have been taken although its answer was lost.
+            # The record may have been appended although the response was lost.
             return AppendResult(AppendOutcome.UNKNOWN, detail=str(error) or type(error).__name__)
 
     async def read(
         self, stream: str, from_offset: int, wait_s: float, *, timeout_s: float = 3.0
     ) -> LogBatch:
-        """Read on from an offset; see :meth:`Log.read`."""
+        """Read records from an offset on; see :meth:`Log.read`."""
         url = f"{self._base_url}/v1/streams/{stream}/records"
         query = {"from": str(from_offset), "wait_s": str(wait_s)}
         timeout = aiohttp.ClientTimeout(total=wait_s + timeout_s)
@@ -114,26 +114,26 @@
 
 
 class AdaptiveReadTimeout:
-    """How long one reader waits for answers: short, and longer while the log is slow.
+    """Read timeout of one reader, short at first and longer while the log is slow.
 
-    A connection that went silent would otherwise hold up a reader for as long as
-    the slowest log may take; a log that is only slow would never be read.
+    A fixed long timeout would block a reader for as long on a dead connection; with a fixed short
+    one, a slow log could not be read at all.
     """
 
     def __init__(self) -> None:
-        """Start with the shortest patience."""
+        """Start with the shortest timeout."""
         self.timeout_s = MIN_READ_TIMEOUT_S
         self._failed_before = False
 
     async def read(self, log: Log, stream: str, from_offset: int, wait_s: float) -> LogBatch:
-        """Read with the present patience, and learn from the outcome.
+        """Read with the current timeout, and adapt it to the outcome.
 
-        :raises LogUnavailableError: when the log gives no answer.
+        :raises LogUnavailableError: when the log gives no usable response.
         """
         try:
             batch = await log.read(stream, from_offset, wait_s, timeout_s=self.timeout_s)
         except LogUnavailableError:
-            # One read may have met a silent connection; the next has a new one.
+            # A single failure may come from a dead connection; the next read opens a new one.
             if self._failed_before:
                 self.timeout_s = min(MAX_READ_TIMEOUT_S, self.timeout_s * 2.0)
             self._failed_before = True
@@ -146,7 +146,7 @@
 def _read_batch(body: Any) -> LogBatch:
     """Return the typed batch.
 
-    :raises ValueError: and the like, when the body is no answer of the log.
+    :raises ValueError: or another of ``ANSWER_FAULTS``, when the body is malformed.
     """
     records = [LogRecord(int(row["offset"]), row["payload"]) for row in body["records"]]
     return LogBatch(records, int(body["first_kept_offset"]), int(body["next_offset"]))
--- a/samphirecleat/platform/_peer_texts.py
+++ b/samphirecleat/platform/_peer_texts.py
@@ -1,4 +1,4 @@
-"""Texts that other nodes have in memory, asked for and given over the nodes' own addresses."""
+"""Exchange of cached texts between nodes over their control addresses."""
 
 import asyncio
 from collections.abc import Callable, Mapping, Sequence
@@ -11,25 +11,25 @@
 from ._answers import ANSWER_FAULTS
 
 PATH_TEXTS: Final = "/texts"
-# A peer has them in memory or not at all; the reader's trainer waits.
+# A peer responds from memory, and the trainer that reads the texts is waiting.
 FETCH_TIMEOUT_S: Final = 0.4
-_KEYS: Final = msgspec.msgpack.Decoder(list[str])
-_TEXTS: Final = msgspec.msgpack.Decoder(dict[str, bytes])
+_KEYS_DECODER: Final = msgspec.msgpack.Decoder(list[str])
+_TEXTS_DECODER: Final = msgspec.msgpack.Decoder(dict[str, bytes])
 
 
 class PeerTextClient:
-    """Asks the node of an incarnation; fills the product's port for texts of peers."""
+    """Fetches texts from the node of an incarnation; implements :class:`PeerTexts`."""
 
     def __init__(
         self, session: aiohttp.ClientSession, members: Callable[[], Sequence[Member]], port: str
     ) -> None:
-        """Ask ``members``, which all listen at ``port``."""
+        """Fetch from ``members``, which all listen at ``port``."""
         self._session = session
         self._members = members
         self._port = port
 
     async def fetch(self, incarnation: str, keys: Sequence[str]) -> Mapping[str, bytes]:
-        """Return what a process has of some texts; see :class:`PeerTexts`."""
+        """Return those of some texts that a process has cached; see :class:`PeerTexts`."""
         hosts = [
             member.peer_address.rpartition(":")[0]
             for member in self._members()
@@ -45,7 +45,7 @@
                 ) as response,
             ):
                 body = await response.read()
-                return _TEXTS.decode(body) if response.status == 200 else {}
+                return _TEXTS_DECODER.decode(body) if response.status == 200 else {}
         except (*ANSWER_FAULTS, msgspec.MsgspecError):
             return {}
 
@@ -53,8 +53,8 @@
 def encode_texts_reply(
     body: bytes, cached: Callable[[Sequence[str]], Mapping[str, bytes]]
 ) -> bytes:
-    """Return the answer to a peer that asks for texts.
+    """Return the response to a peer's request for texts.
 
-    :raises msgspec.MsgspecError: when ``body`` names none.
+    :raises msgspec.MsgspecError: when ``body`` is malformed.
     """
-    return msgspec.msgpack.encode(dict(cached(_KEYS.decode(body))))
+    return msgspec.msgpack.encode(dict(cached(_KEYS_DECODER.decode(body))))
--- a/samphirecleat/platform/_watches.py
+++ b/samphirecleat/platform/_watches.py
@@ -1,4 +1,4 @@
-"""Entries of the operator's and the targets' topics, read into what the product keeps."""
+"""Applies the entries of the operator's and the targets' topics to the node's tables."""
 
 from collections.abc import Mapping, Sequence
 
@@ -15,36 +15,36 @@
 
 
 class OperatorWatch:
-    """Takes the operator's newest configuration and the trainers' newest versions."""
+    """Applies the operator's configuration and tracks the newest version of each model."""
 
     def __init__(self, routes: RouteTable, observer: Observer) -> None:
-        """Put configurations into ``routes``."""
+        """Apply configurations to ``routes``."""
         self._routes = routes
-        self._words = observer.log("config")
-        self._named: dict[str, int] = {}
+        self._logger = observer.log("config")
+        self._newest_versions: dict[str, int] = {}
 
     def apply(self, entries: Sequence[LogEntry], newest: bool) -> None:
-        """Take entries of the operator's topic; dropped keys change nothing."""
+        """Apply entries of the operator's topic; deleted keys are ignored."""
         del newest
         for entry in entries:
             if not entry.value:
                 continue
             try:
                 if entry.key == KEY_CONFIG:
-                    self._take_config(entry)
+                    self._apply_config(entry)
                 elif entry.key.startswith(KEY_VERSION):
-                    self._take_version(entry)
+                    self._apply_version(entry)
             except DocumentFormatError as error:
-                self._words.error("offset=%d not understood: %s", entry.offset, error)
+                self._logger.error("offset=%d malformed entry: %s", entry.offset, error)
 
     def newest_version(self, model: str) -> int:
-        """Return the newest version of a model that was named, 1 before any."""
-        return self._named.get(model, 1)
+        """Return the newest published version of a model, 1 before the first one."""
+        return self._newest_versions.get(model, 1)
 
-    def _take_config(self, entry: LogEntry) -> None:
+    def _apply_config(self, entry: LogEntry) -> None:
         config = decode_config(entry.value)
         if self._routes.put(config):
-            self._words.info(
+            self._logger.info(
                 "revision=%d in force routes=%d workspaces=%d keys=%d offset=%d",
                 config.revision,
                 len(config.routes),
@@ -53,22 +53,22 @@
                 entry.offset,
             )
             for conflict in self._routes.keys.conflicts:
-                self._words.error(
-                    "revision=%d key mark=%s is held by workspaces %s: it names none of them",
+                self._logger.error(
+                    "revision=%d key mark=%s is shared by workspaces %s and authenticates none",
                     config.revision,
                     conflict.fingerprint,
                     ",".join(conflict.workspaces),
                 )
 
-    def _take_version(self, entry: LogEntry) -> None:
+    def _apply_version(self, entry: LogEntry) -> None:
         model, version = decode_named_version(entry.value)
-        if version > self._named.get(model, 1):
-            self._named[model] = version
-            self._words.info("model=%s version=%d named", model, version)
+        if version > self._newest_versions.get(model, 1):
+            self._newest_versions[model] = version
+            self._logger.info("model=%s version=%d published", model, version)
 
 
 class TargetWatch:
-    """Takes the targets' registrations."""
+    """Applies the registrations of targets."""
 
     def __init__(
         self,
@@ -76,58 +76,58 @@
         table: TargetTable,
         observer: Observer,
     ) -> None:
-        """Keep ``registry``, and ``table`` as it says."""
+        """Update ``registry``, and ``table`` from it."""
         self._registry = registry
         self._table = table
-        self._words = observer.log("targets")
+        self._logger = observer.log("targets")
 
     def apply(self, entries: Sequence[LogEntry], newest: bool) -> None:
-        """Take entries of the targets' topic."""
-        read: dict[str, Target | None] = {entry.key: self._read(entry) for entry in entries}
+        """Apply entries of the targets' topic."""
+        decoded: dict[str, Target | None] = {entry.key: self._decode(entry) for entry in entries}
         if newest:
-            self._registry.replace({name: t for name, t in read.items() if t is not None})
+            self._registry.replace({name: t for name, t in decoded.items() if t is not None})
         else:
-            for name, target in read.items():
-                self._take_one(name, target)
+            for name, target in decoded.items():
+                self._apply_one(name, target)
         self.refresh()
 
     def refresh(self) -> None:
-        """Bring the table up to what the registry says now."""
+        """Update the table from the current state of the registry."""
         present = self._registry.usable_targets()
         if present != self._table.targets:
             self._log_changes(present)
             self._table.replace(present)
 
-    def _take_one(self, name: str, target: Target | None) -> None:
+    def _apply_one(self, name: str, target: Target | None) -> None:
         if target is None:
             self._registry.remove(name)
         else:
             self._registry.put(target)
 
-    def _read(self, entry: LogEntry) -> Target | None:
+    def _decode(self, entry: LogEntry) -> Target | None:
         if not entry.value:
             return None
         try:
             return decode_target(entry.key, entry.value)
         except DocumentFormatError as error:
-            self._words.warning("offset=%d names no target: %s", entry.offset, error)
+            self._logger.warning("offset=%d malformed target registration: %s", entry.offset, error)
             return None
 
     def _log_changes(self, now: Mapping[str, Target]) -> None:
-        """Write one line for all that came, went or drains: every node hears of every target."""
+        """Log all changes in one line, because every node sees the changes of every target."""
         before = self._table.targets
-        came = [f"{name}@{target.address}" for name, target in now.items() if name not in before]
-        gone = before.keys() - now.keys()
+        added = [f"{name}@{target.address}" for name, target in now.items() if name not in before]
+        removed = before.keys() - now.keys()
         draining = [
             name
             for name, target in now.items()
             if target.draining and not (name in before and before[name].draining)
         ]
-        if came or gone or draining:
-            self._words.info(
+        if added or removed or draining:
+            self._logger.info(
                 "targets=%d came=%s gone=%s draining=%s",
                 len(now),
-                ",".join(came),
-                ",".join(sorted(gone)),
+                ",".join(added),
+                ",".join(sorted(removed)),
                 ",".join(draining),
             )
--- a/samphirecleat/platform/_weight_store.py
+++ b/samphirecleat/platform/_weight_store.py
@@ -1,4 +1,4 @@
-"""The platform's weight store: which weight version is the newest of a service."""
+"""Client of the platform's weight store, which knows the newest weight version of a service."""
 
 from typing import NamedTuple
 
@@ -8,23 +8,23 @@
 
 
 class WeightStoreUnavailableError(Exception):
-    """The weight store gave no answer."""
+    """The weight store gave no usable response."""
 
 
 class StoreInfo(NamedTuple):
-    """The newest version of a service and how many loads the store serves at once."""
+    """The newest version of a service, and how many parallel loads the store serves."""
 
     latest_version: int
     parallel_loads: int
 
 
 class HttpWeightStore:
-    """The weight store over HTTP, found beside the log."""
+    """Client of the weight store over HTTP."""
 
     def __init__(
         self, session: aiohttp.ClientSession, base_url: str, *, timeout_s: float = 2.0
     ) -> None:
-        """Talk to the weight store at ``base_url``."""
+        """Use the weight store at ``base_url``; each call takes at most ``timeout_s``."""
         self._session = session
         self._base_url = base_url
         self._timeout_s = timeout_s
@@ -32,8 +32,8 @@
     async def read(self, service: str) -> StoreInfo:
         """Return the newest version of ``service``.
 
-        :raises WeightStoreUnavailableError: when the store gives no usable answer,
-            or refuses for its rate limit.
+        :raises WeightStoreUnavailableError: when the store gives no usable response, or rejects the
+            call because of its rate limit.
         """
         url = f"{self._base_url}/v1/services/{service}/latest"
         timeout = aiohttp.ClientTimeout(total=self._timeout_s)
--- a/tests/platform/test_node_processes.py
+++ b/tests/platform/test_node_processes.py
@@ -1,4 +1,4 @@
-"""Nodes as real processes over a stand-in of the store: killed together, ended, cut off."""
+"""Node processes with a stand-in of the store: killed together, stopped, without the store."""
 
 import asyncio
 import gzip
@@ -8,15 +8,15 @@
 from .nodes import Nodes, job, running_nodes
 
 
-def text_of(events: int) -> str:
+def expected_text(events: int) -> str:
     return "\n".join(f"{number}.{events}" for number in range(1, events + 1))
 
 
-def test_a_step_is_whole_after_every_node_was_killed_right_after_its_202(tmp_path: Path) -> None:
-    """All processes die in the moment in which a trainer is told that its step is kept.
+def test_an_accepted_step_completes_although_all_nodes_are_killed(tmp_path: Path) -> None:
+    """Guards against an accepted step that no node knows, for which its trainer waits in vain.
 
-    Hosts have no disks. What the log does not hold by then is lost, and the trainer waits
-    for a step that nobody knows.
+    All processes are killed right after the 202 response. Hosts have no disks, so everything that
+    the log does not contain by then is lost.
     """
 
     async def body() -> None:
@@ -26,14 +26,14 @@
             )
             await nodes.kill_all()
             await nodes.start()
-            rows = await read_all(nodes, caller, 6)
+            rows = await read_whole_job(nodes, caller, 6)
             assert {row["id"] for row in rows} == {f"i{n}" for n in range(6)}
             assert {row["state"] for row in rows} == {"completed"}
-            assert {row["text"] for row in rows} == {text_of(8)}
+            assert {row["text"] for row in rows} == {expected_text(8)}
             assert all(row["score"] == f"p-1.r{row['id'][1:]}" for row in rows)
             assert all(row["versions"] == [1] for row in rows)
             for host in nodes.hosts:
-                await read_same(caller, host, rows)
+                await assert_same_results(caller, host, rows)
             assert targets[0].runs
             body_bytes = await caller.call("GET", "/v1/items/j1?id=i3", host=nodes.hosts[2])
             assert body_bytes == b"prompt"
@@ -41,14 +41,14 @@
     asyncio.run(body())
 
 
-async def read_all(nodes: Nodes, caller: object, items: int) -> list[dict[str, object]]:
-    """Read a job in turn at every node until all results are listed."""
+async def read_whole_job(nodes: Nodes, caller: object, items: int) -> list[dict[str, object]]:
+    """Read a job from the nodes in turn until all results are listed."""
     rows: list[dict[str, object]] = []
-    turn = 0
+    attempt = 0
     async with asyncio.timeout(30.0):
         while len(rows) < items:
-            host = nodes.hosts[turn % len(nodes.hosts)]
-            turn += 1
+            host = nodes.hosts[attempt % len(nodes.hosts)]
+            attempt += 1
             page = json.loads(
                 await caller.call(  # type: ignore[attr-defined]
                     "GET", f"/v1/lots/j1?after={len(rows)}", host=host, headers={"X-Wait-Ms": "200"}
@@ -60,8 +60,8 @@
     return rows
 
 
-async def read_same(caller: object, host: str, rows: list[dict[str, object]]) -> None:
-    """Read a job from its start at a node until it has all results, each where it was before."""
+async def assert_same_results(caller: object, host: str, rows: list[dict[str, object]]) -> None:
+    """Read a job from one node until it lists all results, at the same positions as ``rows``."""
     seen: list[dict[str, object]] = []
     async with asyncio.timeout(30.0):
         while len(seen) < len(rows):
@@ -70,24 +70,24 @@
             assert seen == rows[: len(seen)]
 
 
-def test_a_job_is_kept_once_however_often_and_wherever_it_is_submitted(tmp_path: Path) -> None:
+def test_a_job_submitted_twice_at_different_nodes_runs_once(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_nodes(2, tmp_path) as (nodes, caller, store, _targets):
             submit = {"want": 202, "body": job(2), "headers": {"X-Request-Id": "j1"}}
             await caller.call("POST", "/jobs/1", **submit)  # type: ignore[arg-type]
             store.answers = ["lost"]
             await caller.call("POST", "/jobs/1", host=nodes.hosts[1], **submit)  # type: ignore[arg-type]
-            rows = await read_all(nodes, caller, 2)
+            rows = await read_whole_job(nodes, caller, 2)
             assert len({row["id"] for row in rows}) == 2
             for host in nodes.hosts:
                 await caller.call("DELETE", "/v1/lots/j1", host=host)
             for host in nodes.hosts:
-                await read_same(caller, host, rows)
+                await assert_same_results(caller, host, rows)
 
     asyncio.run(body())
 
 
-def test_a_call_is_answered_whole_and_an_unknown_route_is_denied(tmp_path: Path) -> None:
+def test_calls_are_answered_and_unknown_routes_rejected(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (_nodes, caller, _store, _targets):
             headers = {"X-Request-Id": "q1", "X-Deadline-Ms": "5000"}
@@ -100,10 +100,10 @@
     asyncio.run(body())
 
 
-def test_a_node_that_ends_leaves_the_directory_and_cuts_nothing_off(tmp_path: Path) -> None:
-    """A host is replaced in planned work while its node answers a slow call.
+def test_a_stopping_node_leaves_the_directory_and_completes_its_calls(tmp_path: Path) -> None:
+    """Guards against a cut-off caller that doesn't know whether its quote was issued.
 
-    Cut off, the caller would not know whether its quote was made.
+    A host is replaced in planned maintenance while its node answers a slow call.
     """
 
     async def body() -> None:
@@ -138,7 +138,7 @@
     return addresses
 
 
-def test_without_the_store_what_is_known_is_served_and_nothing_is_promised(tmp_path: Path) -> None:
+def test_without_the_store_known_work_is_served_and_no_new_job_accepted(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (_nodes, caller, store, _targets):
             headers = {"X-Request-Id": "j1"}
@@ -159,22 +159,22 @@
     asyncio.run(body())
 
 
-def test_a_large_and_encoded_body_reaches_its_target_unchanged(tmp_path: Path) -> None:
+def test_a_large_encoded_body_reaches_its_target_unchanged(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (_nodes, caller, _store, targets):
             content = bytes(range(256)) * 12_000
             headers = {"X-Request-Id": "q1", "Content-Encoding": "gzip"}
-            packed = gzip.compress(content, compresslevel=0)
-            await caller.call("POST", "/plain/1", body=packed, headers=headers)
+            compressed = gzip.compress(content, compresslevel=0)
+            await caller.call("POST", "/plain/1", body=compressed, headers=headers)
             assert targets[1].seen[-1][3] == content
 
     asyncio.run(body())
 
 
-def test_nodes_whose_seeds_are_all_dead_find_each_other_through_the_log(tmp_path: Path) -> None:
-    """The hosts that a new node's settings name were replaced since.
+def test_nodes_with_only_dead_seeds_find_each_other_through_the_log(tmp_path: Path) -> None:
+    """Guards against a new node that lists only itself for callers and runs every step again.
 
-    Alone, it would offer only itself to callers and run every step a second time.
+    The seed hosts in its settings were replaced since.
     """
 
     async def body() -> None:
@@ -188,7 +188,7 @@
     asyncio.run(body())
 
 
-def test_settings_that_change_for_the_worse_leave_the_old_in_force(tmp_path: Path) -> None:
+def test_invalid_changed_settings_leave_the_previous_ones_in_force(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_nodes(1, tmp_path) as (nodes, caller, _store, _targets):
             headers = {"X-Request-Id": "q1"}
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -1,7 +1,8 @@
-"""A soak: trainers and callers of real node processes while everything around them fails.
+"""Soak test: trainers and callers of node processes while nodes, store and targets fail.
 
-The faults are drawn from a seed; ``SOAK_S`` in the environment makes it longer and ``SOAK_SEED``
-another one. What is checked holds at every moment, so that a fault is seen when it happens.
+The faults are chosen at random. The environment variables ``SOAK_S`` and ``SOAK_SEED`` set the
+duration in seconds and the random seed. Each check holds at any time, so that a violation is
+found when it happens.
 """
 
 import asyncio
@@ -23,11 +24,11 @@
 ITEMS = 6
 EVENTS = 8
 WAIT_S = 60.0
-WHOLE_TEXT = "\n".join(f"{number}.{EVENTS}" for number in range(1, EVENTS + 1))
+EXPECTED_TEXT = "\n".join(f"{number}.{EVENTS}" for number in range(1, EVENTS + 1))
 
 
 class Soak:
-    """Work and faults over one small fleet, with what was seen of both."""
+    """Load and faults for a small fleet, and counts of both."""
 
     def __init__(
         self, nodes: Nodes, store: StoreStandIn, targets: Sequence[TargetStandIn], seed: int
@@ -36,17 +37,17 @@
         self.store = store
         self.engine, self.plain = targets
         self.rng = random.Random(seed)
-        self.seen: Counter[str] = Counter()
-        self.over = False
+        self.counts: Counter[str] = Counter()
+        self.finished = False
 
     def address(self) -> str:
-        """Return the callers' address of any node, be it up or not."""
+        """Return the caller address of a random node, which may be down."""
         return f"http://{self.rng.choice(self.nodes.hosts)}:{self.nodes.front}"
 
-    async def ask(
+    async def send_request(
         self, session: aiohttp.ClientSession, method: str, path: str, **options: object
     ) -> tuple[int, bytes]:
-        """Return a node's answer; status 0 stands for none."""
+        """Return the status and body of a node's response; status 0 if there is none."""
         try:
             async with session.request(
                 method,
@@ -58,9 +59,9 @@
             return 0, b""
 
     async def train(self, session: aiohttp.ClientSession) -> None:
-        """Submit one step after the other, and read each to its end."""
+        """Submit steps one after the other, and read each one completely."""
         number = 0
-        while not self.over:
+        while not self.finished:
             number += 1
             step_id = f"step{number}"
             headers = {"Host": "h.example", "X-Request-Id": step_id}
@@ -68,7 +69,7 @@
             async with asyncio.timeout(WAIT_S):
                 status = 0
                 while status != 202:
-                    status, _ = await self.ask(
+                    status, _ = await self.send_request(
                         session, "POST", "/jobs/1", data=body, headers=headers
                     )
                 rows = await self.read_step(session, step_id)
@@ -76,86 +77,86 @@
                 f"{number}-i{item}" for item in range(ITEMS)
             )
             for row in rows:
-                assert (row["state"], row["text"]) == ("completed", WHOLE_TEXT), row
+                assert (row["state"], row["text"]) == ("completed", EXPECTED_TEXT), row
                 assert row["score"] == f"p-1.{str(row['id']).replace('i', 'r')}"
                 assert row["versions"] == [1]
-            self.seen["steps"] += 1
+            self.counts["steps"] += 1
 
     async def read_step(
         self, session: aiohttp.ClientSession, step_id: str
     ) -> Sequence[dict[str, object]]:
-        """Read a step at any nodes; what was read once must come again at its position."""
+        """Read a step from random nodes; a result must never change its position."""
         rows: list[dict[str, object]] = []
         headers = {"Host": "h.example", "X-Wait-Ms": "200"}
         while len(rows) < ITEMS:
             after = self.rng.choice([0, len(rows)])
-            status, body = await self.ask(
+            status, body = await self.send_request(
                 session, "GET", f"/v1/lots/{step_id}?after={after}", headers=headers
             )
-            # A node that was cut off or has just started may be unsure, but never sure of less.
+            # A node that was cut off or just started may return an error, but not deny the step.
             assert status in (0, 200, 502, 503, 504), (status, body)
             if status != 200:
                 await asyncio.sleep(0.05)
                 continue
             page = json.loads(body)["results"]
-            known = rows[after : after + len(page)]
-            assert page[: len(known)] == known, "a position holds another result"
-            rows.extend(page[len(known) :])
-            self.seen["reads"] += 1
+            already_read = rows[after : after + len(page)]
+            assert page[: len(already_read)] == already_read, "a result changed its position"
+            rows.extend(page[len(already_read) :])
+            self.counts["reads"] += 1
         return rows
 
     async def call(self, session: aiohttp.ClientSession) -> None:
-        """Make calls that may be repeated; an answer is the caller's own or none."""
+        """Make idempotent calls; an answer must belong to its call."""
         number = 0
-        while not self.over:
+        while not self.finished:
             number += 1
             name = f"call{number}"
             headers = {"Host": "h.example", "X-Request-Id": name, "X-Deadline-Ms": "1500"}
-            status, body = await self.ask(session, "GET", "/plain/1", headers=headers)
+            status, body = await self.send_request(session, "GET", "/plain/1", headers=headers)
             if status == 200:
                 assert body == f"answer to {name}".encode()
-                self.seen["answers"] += 1
+                self.counts["answers"] += 1
             await asyncio.sleep(0.03)
 
     async def stream(self, session: aiohttp.ClientSession) -> None:
-        """Read streams; one that ends as whole is whole, and no event comes twice."""
+        """Read streams; one that ends regularly has each event exactly once."""
         number = 0
-        while not self.over:
+        while not self.finished:
             number += 1
             headers = {"Host": "h.example", "X-Request-Id": f"stream{number}"}
-            status, body = await self.ask(session, "POST", "/run/1", headers=headers)
+            status, body = await self.send_request(session, "POST", "/run/1", headers=headers)
             if status == 200:
                 ids = [line[4:] for line in body.decode().split("\n") if line.startswith("id: ")]
                 assert ids == [str(n) for n in range(1, EVENTS + 1)]
-                self.seen["streams"] += 1
+                self.counts["streams"] += 1
             await asyncio.sleep(0.05)
 
-    async def break_things(self) -> None:
-        """Draw one fault after the other until the time is over."""
+    async def inject_faults(self) -> None:
+        """Inject faults in random order until the time is over."""
         faults: dict[str, Callable[[], Awaitable[None]]] = {
             "kill": self.kill,
             "kill all": self.kill_all,
             "term": self.term,
-            "store away": self.store_away,
+            "store away": self.make_store_unavailable,
             "store loses answers": self.lose_answers,
-            "store acts late": self.act_late,
+            "store acts late": self.delay_appends,
             "store forgets": self.forget,
             "targets fail": self.fail_targets,
         }
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + SOAK_S
+        end_s = loop.time() + SOAK_S
         order = list(faults)
-        while loop.time() < until_s:
+        while loop.time() < end_s:
             self.rng.shuffle(order)
             for name in order:
-                if loop.time() >= until_s:
+                if loop.time() >= end_s:
                     break
                 await faults[name]()
-                self.seen[name] += 1
+                self.counts[name] += 1
                 await asyncio.sleep(self.rng.uniform(0.1, 0.8))
         self.store.error_status = 0
         self.store.apply_late_appends()
-        self.over = True
+        self.finished = True
 
     async def kill(self) -> None:
         host = self.rng.choice(self.nodes.hosts)
@@ -174,7 +175,7 @@
         await asyncio.wait([ending], timeout=12.0)
         await self.nodes.start_one(host)
 
-    async def store_away(self) -> None:
+    async def make_store_unavailable(self) -> None:
         self.store.error_status = self.rng.choice([429, 503])
         await asyncio.sleep(self.rng.uniform(0.2, 1.5))
         self.store.error_status = 0
@@ -182,7 +183,7 @@
     async def lose_answers(self) -> None:
         self.store.answers = ["lost"] * self.rng.randint(1, 3)
 
-    async def act_late(self) -> None:
+    async def delay_appends(self) -> None:
         self.store.answers = ["late"] * self.rng.randint(1, 2)
         await asyncio.sleep(self.rng.uniform(0.2, 1.0))
         self.store.apply_late_appends()
@@ -197,11 +198,12 @@
         self.plain.answers = [self.rng.choice([*kinds[:4], 502]) for _ in range(3)]
 
 
-def test_every_promise_holds_while_everything_fails(tmp_path: Path) -> None:
-    """Nodes are killed alone and together, the store is away, loses, delays and forgets.
+def test_results_are_correct_while_nodes_store_and_targets_fail(tmp_path: Path) -> None:
+    """Guards against lost, duplicate, truncated or misplaced results.
 
-    A trainer must get each of its samples once and whole, a result must stay where it was
-    read, and a caller must get its own answer or none.
+    Nodes are killed one by one and together. The store is unavailable, loses responses, delays
+    appends and trims its history. A trainer must get each sample exactly once and complete, a
+    result must keep its position, and a caller must get its own answer or none.
     """
 
     async def body() -> None:
@@ -213,12 +215,12 @@
                 aiohttp.ClientSession(timeout=timeout) as session,
                 asyncio.TaskGroup() as group,
             ):
-                group.create_task(soak.break_things())
+                group.create_task(soak.inject_faults())
                 group.create_task(soak.train(session))
                 group.create_task(soak.call(session))
                 group.create_task(soak.stream(session))
-            print(dict(soak.seen))
+            print(dict(soak.counts))
             for kind in ("steps", "reads", "answers", "streams", "kill all", "store forgets"):
-                assert soak.seen[kind] > 0, soak.seen
+                assert soak.counts[kind] > 0, soak.counts
 
     asyncio.run(body())
--- a/tests/platform/test_watches.py
+++ b/tests/platform/test_watches.py
@@ -1,4 +1,4 @@
-"""What a node says of the targets' registrations."""
+"""Log lines about registrations of targets."""
 
 import json
 
@@ -19,13 +19,13 @@
     return LogEntry(number, f"i-{number}", json.dumps(document).encode())
 
 
-def test_a_node_writes_one_line_for_all_targets_that_changed(
+def test_all_changed_targets_are_logged_in_one_line(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """A fleet of hundreds starts, and each node reads the registrations of all targets.
+    """Guards against log lines about faults that are dropped by the limit on the log volume.
 
-    With a line for each, the first seconds' logs hold nodes times targets of them, and the
-    lines that tell of a fault are dropped by the bound on the volume.
+    When a fleet of hundreds of nodes starts, each node reads the registrations of all targets. One
+    line per registration would be nodes times targets lines in the first seconds.
     """
     observer = Observer("n1")
     table = TargetTable("z")
