--- a/samphirecleat/bench/_usage.py
+++ b/samphirecleat/bench/_usage.py
@@ -13,7 +13,7 @@
 
 from ..usage import CountsAdded, write_interval_s
 from ..usage._counter import MIN_WRITE_INTERVAL_S
-from ..usage._records import entry_of
+from ..usage._records import encode_entry
 from ._harness import BenchResult, BenchRow, average_runs
 
 DEFAULT_SEED: Final = 23
@@ -145,7 +145,7 @@
             by_window.setdefault(window, {})[f"workspace-{workspace}"] = calls
         self._appends += 1
         for window, counts in by_window.items():
-            key, value = entry_of(CountsAdded(window, counts), "0123456789ab.1")
+            key, value = encode_entry(CountsAdded(window, counts), "0123456789ab.1")
             self._log_bytes += len(key) + len(value) + 5
         self._kept += held.unwritten
 
--- a/samphirecleat/usage/_counter.py
+++ b/samphirecleat/usage/_counter.py
@@ -16,7 +16,7 @@
 
 from ..durable import AppendOutcome, KeyedLog
 from ..observe import Observer
-from ._records import CountsAdded, entry_of
+from ._records import CountsAdded, encode_entry
 from ._true_clock import TrueClock
 
 USAGE_TOPIC: Final = "keyed.usage"
@@ -63,7 +63,7 @@
 
     def record_start(self, workspace: str, at_loop_s: float) -> None:
         """Count a call that began to run at a target at a time of the loop."""
-        window = int(self._clock.at_s(at_loop_s) // self._window_s)
+        window = int(self._clock.time_at_s(at_loop_s) // self._window_s)
         self._pending.setdefault(window, Counter())[workspace] += 1
         self._observer.counters["usage_counted"] += 1
         self._came.set()
@@ -97,7 +97,9 @@
         taken = {window: Counter(counts) for window, counts in self._pending.items()}
         self._next_write += 1
         unique = f"{self._writer}.{self._next_write}"
-        entries = [entry_of(CountsAdded(window, taken[window]), unique) for window in sorted(taken)]
+        entries = [
+            encode_entry(CountsAdded(window, taken[window]), unique) for window in sorted(taken)
+        ]
         failed = False
         while entries:
             result = await self._log.append(USAGE_TOPIC, entries)
--- a/samphirecleat/usage/_ledger.py
+++ b/samphirecleat/usage/_ledger.py
@@ -5,7 +5,7 @@
 
 from ..durable import LogEntry
 from ..observe import Observer
-from ._records import CountsAdded, ReportFixed, UsageFormatError, WindowCounts, read_entry
+from ._records import CountsAdded, ReportFixed, UsageFormatError, WindowCounts, decode_entry
 
 
 class UsageLedger:
@@ -25,7 +25,7 @@
             if not entry.value or entry.key in self._keys:
                 continue
             try:
-                record = read_entry(entry.key, entry.value)
+                record = decode_entry(entry.key, entry.value)
             except UsageFormatError as error:
                 self._words.error("entry offset=%d not understood: %s", entry.offset, error)
                 continue
--- a/samphirecleat/usage/_records.py
+++ b/samphirecleat/usage/_records.py
@@ -37,13 +37,13 @@
     """An entry of the usage topic that is not understood; the text says which."""
 
 
-def entry_of(record: UsageRecord, unique: str) -> tuple[str, bytes]:
+def encode_entry(record: UsageRecord, unique: str) -> tuple[str, bytes]:
     """Return the key and the value that carry a record; ``unique`` is never used again."""
     key = f"{_NAME_OF[type(record)]}/{record.window}/{unique}"
     return key, msgspec.msgpack.encode(record)
 
 
-def read_entry(key: str, value: bytes) -> UsageRecord:
+def decode_entry(key: str, value: bytes) -> UsageRecord:
     """Return the record of an entry.
 
     :raises UsageFormatError: when it holds none.
--- a/samphirecleat/usage/_reporter.py
+++ b/samphirecleat/usage/_reporter.py
@@ -29,7 +29,7 @@
 from ..observe import Observer
 from ._counter import USAGE_TOPIC
 from ._ledger import UsageLedger
-from ._records import ReportFixed, WindowCounts, drop_entries, entry_of
+from ._records import ReportFixed, WindowCounts, drop_entries, encode_entry
 from ._true_clock import TrueClock
 
 REPORT_SUBJECT: Final = "duty:usage"
@@ -181,7 +181,7 @@
             return
         record = ReportFixed(window, self._ledger.counts(window))
         unique = f"{self._holder.fencing_number}.{secrets.token_hex(4)}"
-        result = await self._log.append(USAGE_TOPIC, [entry_of(record, unique)])
+        result = await self._log.append(USAGE_TOPIC, [encode_entry(record, unique)])
         self._words.info(
             "window=%d figures fixed workspaces=%d calls=%d outcome=%s detail=%s",
             window,
--- a/samphirecleat/usage/_true_clock.py
+++ b/samphirecleat/usage/_true_clock.py
@@ -59,7 +59,7 @@
         """Return the true time, in seconds since 1970."""
         return self._offset_s + self._boot_time_s()
 
-    def at_s(self, loop_s: float) -> float:
+    def time_at_s(self, loop_s: float) -> float:
         """Return the true time at a time of the loop that is not long ago."""
         return self.now_s() - (self._loop_time_s() - loop_s)
 
--- a/tests/usage/test_true_clock.py
+++ b/tests/usage/test_true_clock.py
@@ -38,7 +38,7 @@
         -5.0, rel=0.0, abs=0.02
     )
     assert clock.now_s() == pytest.approx(1_000_000.0, rel=0.0, abs=0.02)
-    assert clock.at_s(host.loop_s - 3.0) == pytest.approx(999_997.0, rel=0.0, abs=0.02)
+    assert clock.time_at_s(host.loop_s - 3.0) == pytest.approx(999_997.0, rel=0.0, abs=0.02)
 
 
 @pytest.mark.parametrize("step_s", [-2.0, 2.0, 1e6])
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -24,7 +24,7 @@
     write_interval_s,
 )
 from samphirecleat.usage._counter import USAGE_TOPIC
-from samphirecleat.usage._records import entry_of
+from samphirecleat.usage._records import encode_entry
 
 from ..durable.memory_log import MemoryLog
 from ..fleets import until
@@ -180,7 +180,7 @@
 
 
 def write(stage: Stage, record: CountsAdded | ReportFixed, unique: str) -> None:
-    stage.log.topic(USAGE_TOPIC).do_append([entry_of(record, unique)], -1)
+    stage.log.topic(USAGE_TOPIC).do_append([encode_entry(record, unique)], -1)
 
 
 def test_each_window_is_reported_once_with_the_counts_of_all_nodes() -> None:
@@ -323,7 +323,7 @@
 
 def test_entries_that_are_not_understood_change_nothing() -> None:
     ledger = UsageLedger(Observer("n1"))
-    good = entry_of(CountsAdded(3, {"w": 1}), "n1.1")
+    good = encode_entry(CountsAdded(3, {"w": 1}), "n1.1")
     ledger.take(
         [
             LogEntry(0, "counts/3/x", b"\xff"),
