--- a/samphirecleat/usage/__init__.py
+++ b/samphirecleat/usage/__init__.py
@@ -1,8 +1,8 @@
-"""Usage of workspaces: counted where calls run, kept in the log, reported once a window."""
+"""Usage accounting: counts each workspace's calls and reports them to the platform per window."""
 
 from ._counter import UsageCounter, write_interval_s
 from ._ledger import UsageLedger
-from ._records import CountsAdded, ReportFixed, WindowCounts
+from ._records import CountsAdded, CountsFinalized, WindowCounts
 from ._reporter import (
     REPORT_SUBJECT,
     ReportOutcome,
@@ -17,7 +17,7 @@
     "REPORT_SUBJECT",
     "ClockSample",
     "CountsAdded",
-    "ReportFixed",
+    "CountsFinalized",
     "ReportOutcome",
     "ReportSchedule",
     "TrueClock",
--- a/samphirecleat/usage/_ledger.py
+++ b/samphirecleat/usage/_ledger.py
@@ -1,25 +1,25 @@
-"""The usage topic folded: counts by window, and the figures that were fixed for reports."""
+"""Aggregates the usage topic: counts by window, and the final counts of reports."""
 
 from collections import Counter
 from collections.abc import Collection, Sequence
 
 from ..durable import LogEntry
 from ..observe import Observer
-from ._records import CountsAdded, ReportFixed, UsageFormatError, WindowCounts, decode_entry
+from ._records import CountsAdded, CountsFinalized, UsageFormatError, WindowCounts, decode_entry
 
 
 class UsageLedger:
-    """What the log holds of usage, whatever the order in which nodes wrote it."""
+    """Usage records of the log; the result doesn't depend on the order in which nodes wrote."""
 
     def __init__(self, observer: Observer) -> None:
         """Start from an empty log."""
-        self._words = observer.log("usage")
+        self._logger = observer.log("usage")
         self._counts: dict[int, Counter[str]] = {}
         self._reports: dict[int, tuple[int, WindowCounts]] = {}
         self._keys: dict[str, int] = {}
 
-    def take(self, entries: Sequence[LogEntry], newest: bool) -> None:
-        """Take entries of the topic; one whose key was seen before changes nothing."""
+    def apply(self, entries: Sequence[LogEntry], newest: bool) -> None:
+        """Apply entries of the topic; an entry whose key was seen before is ignored."""
         del newest
         for entry in entries:
             if not entry.value or entry.key in self._keys:
@@ -27,37 +27,37 @@
             try:
                 record = decode_entry(entry.key, entry.value)
             except UsageFormatError as error:
-                self._words.error("entry offset=%d not understood: %s", entry.offset, error)
+                self._logger.error("malformed entry offset=%d: %s", entry.offset, error)
                 continue
             self._keys[entry.key] = record.window
             match record:
                 case CountsAdded():
                     self._counts.setdefault(record.window, Counter()).update(record.counts)
-                case ReportFixed():
-                    self._fix(record, entry.offset)
+                case CountsFinalized():
+                    self._finalize(record, entry.offset)
 
     def counts(self, window: int) -> WindowCounts:
-        """Return what was counted in a window, by all nodes that have written so far."""
+        """Return the counts of a window that nodes have written so far."""
         return dict(self._counts.get(window, {}))
 
     def report(self, window: int) -> WindowCounts | None:
-        """Return the figures that hold for a window, None while none are fixed."""
-        fixed = self._reports.get(window)
-        return fixed[1] if fixed is not None else None
-
-    def forget_before(self, window: int) -> Collection[str]:
-        """Forget the windows before one; return the keys to drop from the log."""
-        old = [key for key, of in self._keys.items() if of < window]
-        for key in old:
+        """Return the final counts of a window, None if there are none yet."""
+        finalized = self._reports.get(window)
+        return finalized[1] if finalized is not None else None
+
+    def remove_before(self, window: int) -> Collection[str]:
+        """Remove the windows before ``window``; return the keys to delete from the log."""
+        old_keys = [key for key, key_window in self._keys.items() if key_window < window]
+        for key in old_keys:
             del self._keys[key]
-        for of in [of for of in self._counts if of < window]:
-            del self._counts[of]
-        for of in [of for of in self._reports if of < window]:
-            del self._reports[of]
-        return old
-
-    def _fix(self, record: ReportFixed, offset: int) -> None:
-        """Take figures; the record that the log holds first counts, in whatever order they come."""
-        fixed = self._reports.get(record.window)
-        if fixed is None or offset < fixed[0]:
+        for old_window in [counted for counted in self._counts if counted < window]:
+            del self._counts[old_window]
+        for old_window in [reported for reported in self._reports if reported < window]:
+            del self._reports[old_window]
+        return old_keys
+
+    def _finalize(self, record: CountsFinalized, offset: int) -> None:
+        """Apply final counts; the record with the lowest offset is binding, in any order."""
+        finalized = self._reports.get(record.window)
+        if finalized is None or offset < finalized[0]:
             self._reports[record.window] = (offset, record.counts)
--- a/samphirecleat/usage/_records.py
+++ b/samphirecleat/usage/_records.py
@@ -1,7 +1,7 @@
-"""What is written of usage: counts that a node adds, and the figures of a window's report.
+"""Records of the usage topic: counts added by a node, and the final counts of a window.
 
-Each record has a key of its own that is never used for another one. A record whose answer was lost
-is sent again under the same key and counts once.
+Each record has a unique key that is never reused. A record whose response was lost is written again
+with the same key and counts only once.
 """
 
 from collections.abc import Mapping, Sequence
@@ -10,47 +10,49 @@
 import msgspec
 
 WindowCounts = Mapping[str, int]
-"""Calls that began to run in a window, by workspace."""
+"""Number of calls started in a window, by workspace."""
 
 
 class CountsAdded(NamedTuple):
-    """Calls that began at targets by way of one node, beyond what it had written before."""
+    """Calls started through one node since its previous record."""
 
     window: int
     counts: WindowCounts
 
 
-class ReportFixed(NamedTuple):
-    """The figures of a window's report; the first such record of a window holds for good."""
+class CountsFinalized(NamedTuple):
+    """The final counts of a window for its report; only the first record of a window is valid."""
 
     window: int
     counts: WindowCounts
 
 
-UsageRecord = CountsAdded | ReportFixed
-_KINDS: Final[Mapping[str, type[Any]]] = {"counts": CountsAdded, "report": ReportFixed}
-_NAME_OF: Final = {kind: name for name, kind in _KINDS.items()}
-_DECODERS: Final = {name: msgspec.msgpack.Decoder(kind) for name, kind in _KINDS.items()}
+UsageRecord = CountsAdded | CountsFinalized
+_RECORD_TYPES: Final[Mapping[str, type[Any]]] = {"counts": CountsAdded, "report": CountsFinalized}
+_NAMES_BY_TYPE: Final = {record_type: name for name, record_type in _RECORD_TYPES.items()}
+_DECODERS: Final = {
+    name: msgspec.msgpack.Decoder(record_type) for name, record_type in _RECORD_TYPES.items()
+}
 
 
 class UsageFormatError(Exception):
-    """An entry of the usage topic that is not understood; the text says which."""
+    """A malformed entry of the usage topic; the message names its key."""
 
 
-def encode_entry(record: UsageRecord, unique: str) -> tuple[str, bytes]:
-    """Return the key and the value that carry a record; ``unique`` is never used again."""
-    key = f"{_NAME_OF[type(record)]}/{record.window}/{unique}"
+def encode_entry(record: UsageRecord, unique_id: str) -> tuple[str, bytes]:
+    """Return the key and the value of a record; ``unique_id`` must never be reused."""
+    key = f"{_NAMES_BY_TYPE[type(record)]}/{record.window}/{unique_id}"
     return key, msgspec.msgpack.encode(record)
 
 
 def decode_entry(key: str, value: bytes) -> UsageRecord:
     """Return the record of an entry.
 
-    :raises UsageFormatError: when it holds none.
+    :raises UsageFormatError: when the entry is malformed.
     """
     decoder = _DECODERS.get(key.partition("/")[0])
     if decoder is None:
-        raise UsageFormatError(f"key {key!r}")
+        raise UsageFormatError(f"unknown record type in key {key!r}")
     try:
         record: UsageRecord = decoder.decode(value)
     except msgspec.MsgspecError as error:
@@ -58,6 +60,6 @@
     return record
 
 
-def drop_entries(keys: Sequence[str]) -> Sequence[tuple[str, bytes]]:
-    """Return the entries that drop some keys."""
+def deletion_entries(keys: Sequence[str]) -> Sequence[tuple[str, bytes]]:
+    """Return the entries that delete ``keys``."""
     return [(key, b"") for key in keys]
--- a/tests/platform/standin_store.py
+++ b/tests/platform/standin_store.py
@@ -48,7 +48,7 @@
         for topic, body in late:
             self._append_records(topic, list(_split(body)))
 
-    def forget_history(self, topic: str) -> None:
+    def trim_history(self, topic: str) -> None:
         """Delete the history, so that only the newest record of each key can be read."""
         self.first[topic] = len(self.topics[topic])
 
--- a/tests/platform/test_metadata_store.py
+++ b/tests/platform/test_metadata_store.py
@@ -54,7 +54,7 @@
                 (5, "k1", b"new"),
                 (6, "k2", b""),
             ]
-            stand_in.forget_history("keyed.x")
+            stand_in.trim_history("keyed.x")
             with pytest.raises(HistoryGoneError):
                 await store.read("keyed.x", 5, 0.0)
 
--- a/tests/platform/test_soak.py
+++ b/tests/platform/test_soak.py
@@ -137,10 +137,10 @@
             "kill": self.kill,
             "kill all": self.kill_all,
             "term": self.term,
-            "store away": self.make_store_unavailable,
-            "store loses answers": self.lose_answers,
-            "store acts late": self.delay_appends,
-            "store forgets": self.forget,
+            "store unavailable": self.make_store_unavailable,
+            "store loses responses": self.lose_responses,
+            "store delays appends": self.delay_appends,
+            "store trims history": self.trim_history,
             "targets fail": self.fail_targets,
         }
         loop = asyncio.get_running_loop()
@@ -180,7 +180,7 @@
         await asyncio.sleep(self.rng.uniform(0.2, 1.5))
         self.store.error_status = 0
 
-    async def lose_answers(self) -> None:
+    async def lose_responses(self) -> None:
         self.store.answers = ["lost"] * self.rng.randint(1, 3)
 
     async def delay_appends(self) -> None:
@@ -188,9 +188,9 @@
         await asyncio.sleep(self.rng.uniform(0.2, 1.0))
         self.store.apply_late_appends()
 
-    async def forget(self) -> None:
+    async def trim_history(self) -> None:
         for topic in [name for name in self.store.topics if name.startswith("keyed.")]:
-            self.store.forget_history(topic)
+            self.store.trim_history(topic)
 
     async def fail_targets(self) -> None:
         kinds: list[str | int] = ["refused", "reset", "cut", "other id", 502]
@@ -220,7 +220,7 @@
                 group.create_task(soak.call(session))
                 group.create_task(soak.stream(session))
             print(dict(soak.counts))
-            for kind in ("steps", "reads", "answers", "streams", "kill all", "store forgets"):
+            for kind in ("steps", "reads", "answers", "streams", "kill all", "store trims history"):
                 assert soak.counts[kind] > 0, soak.counts
 
     asyncio.run(body())
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -1,4 +1,4 @@
-"""Counts and reports through the loss of answers, nodes and holders."""
+"""Usage counts and reports when responses, nodes and duty holders are lost."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 from samphirecleat.usage import (
     REPORT_SUBJECT,
     CountsAdded,
-    ReportFixed,
+    CountsFinalized,
     ReportOutcome,
     ReportSchedule,
     TrueClock,
@@ -34,9 +34,10 @@
 
 
 class FakeApi:
-    """Takes reports as the platform does; ``answers`` says how the next calls end.
+    """Accepts reports as the platform does; ``answers`` holds the results of the next calls.
 
-    ``unanswered``: done, without an answer. ``lost``: neither.
+    ``unanswered``: the report is accepted, but there is no response. ``lost``: the call has no
+    effect, and there is no response.
     """
 
     def __init__(self) -> None:
@@ -54,12 +55,12 @@
         if isinstance(answer, ReportOutcome):
             return answer
         if answer != "lost":
-            assert self.taken.setdefault(window, dict(counts)) == counts, "other figures"
+            assert self.taken.setdefault(window, dict(counts)) == counts, "counts differ"
         return ReportOutcome.UNKNOWN if answer else ReportOutcome.TAKEN
 
 
-class Stage:
-    """A clock that is moved by hand, a log, and the platform."""
+class UsageHarness:
+    """A clock advanced by the test, a log, and the platform's API."""
 
     def __init__(self) -> None:
         self.now_s = 1000.0
@@ -71,11 +72,13 @@
     def clock(self) -> TrueClock:
         return TrueClock(lambda: self.now_s, lambda: self.now_s, lambda: self.now_s)
 
-    def counter(self, gap_s: float = 0.0) -> UsageCounter:
+    def counter(self, min_interval_s: float = 0.0) -> UsageCounter:
         rng = random.Random(1)
-        return UsageCounter(self.log, self.clock(), WINDOW_S, lambda: gap_s, Observer("n1"), rng)
+        return UsageCounter(
+            self.log, self.clock(), WINDOW_S, lambda: min_interval_s, Observer("n1"), rng
+        )
 
-    async def holder(
+    async def start_holder(
         self, fencing: int, may_act: Callable[[float], bool] = lambda _s: True
     ) -> Duty:
         parts = UsageDependencies(
@@ -113,59 +116,59 @@
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("LOOK_EVERY_S", "RETRY_S"):
+def short_intervals(monkeypatch: pytest.MonkeyPatch) -> None:
+    for name in ("POLL_INTERVAL_S", "RETRY_DELAY_S"):
         monkeypatch.setattr(f"samphirecleat.usage._reporter.{name}", 0.01)
-    monkeypatch.setattr("samphirecleat.usage._counter.RETRY_S", (0.01, 0.01))
+    monkeypatch.setattr("samphirecleat.usage._counter.RETRY_DELAY_RANGE_S", (0.01, 0.01))
 
 
-def run(body: Callable[[Stage], object]) -> None:
+def run(body: Callable[[UsageHarness], object]) -> None:
     async def main() -> None:
-        await body(Stage())  # type: ignore[misc]
+        await body(UsageHarness())  # type: ignore[misc]
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("answers", [[], ["lost"], ["late", "lost"], ["refused"], ["lost"] * 4])
-def test_a_count_is_written_once_whatever_the_log_answers(answers: list[str]) -> None:
-    """Guards against calls that are counted twice, or not at all, because an answer was lost."""
+def test_counts_are_written_once_whatever_the_log_responds(answers: list[str]) -> None:
+    """Guards against calls counted twice or not at all because a response was lost."""
 
-    async def body(stage: Stage) -> None:
-        counter = stage.counter()
+    async def body(harness: UsageHarness) -> None:
+        counter = harness.counter()
         async with counting(counter):
-            counter.record_start("w", stage.now_s)
-            counter.record_start("w", stage.now_s - WINDOW_S)
-            counter.record_start("v", stage.now_s)
-            stage.log.topic(USAGE_TOPIC).answers = list(answers)
+            counter.record_start("w", harness.now_s)
+            counter.record_start("w", harness.now_s - WINDOW_S)
+            counter.record_start("v", harness.now_s)
+            harness.log.topic(USAGE_TOPIC).answers = list(answers)
             await until(lambda: not counter.unwritten_calls)
-        stage.log.topic(USAGE_TOPIC).catch_up()
+        harness.log.topic(USAGE_TOPIC).catch_up()
         ledger = UsageLedger(Observer("n1"))
-        ledger.take(stage.log.topic(USAGE_TOPIC).entries, False)
-        assert ledger.counts(stage.window) == {"w": 1, "v": 1}
-        assert ledger.counts(stage.window - 1) == {"w": 1}
+        ledger.apply(harness.log.topic(USAGE_TOPIC).entries, False)
+        assert ledger.counts(harness.window) == {"w": 1, "v": 1}
+        assert ledger.counts(harness.window - 1) == {"w": 1}
 
     run(body)
 
 
-def test_counts_of_a_node_that_is_killed_were_written_soon() -> None:
-    """Guards against a report that lacks what a node had counted a moment before it died."""
+def test_first_counts_are_written_without_delay() -> None:
+    """Guards against a report without the calls that a node counted shortly before it died."""
 
-    async def body(stage: Stage) -> None:
-        counter = stage.counter(gap_s=1e6)
+    async def body(harness: UsageHarness) -> None:
+        counter = harness.counter(min_interval_s=1e6)
         async with counting(counter):
-            counter.record_start("w", stage.now_s)
-            await until(lambda: bool(stage.log.topic(USAGE_TOPIC).entries))
+            counter.record_start("w", harness.now_s)
+            await until(lambda: bool(harness.log.topic(USAGE_TOPIC).entries))
 
     run(body)
 
 
-def test_a_node_that_leaves_writes_at_once() -> None:
-    async def body(stage: Stage) -> None:
-        counter = stage.counter(gap_s=1e6)
+def test_a_leaving_node_writes_without_delay() -> None:
+    async def body(harness: UsageHarness) -> None:
+        counter = harness.counter(min_interval_s=1e6)
         async with counting(counter):
-            counter.record_start("w", stage.now_s)
+            counter.record_start("w", harness.now_s)
             await until(lambda: not counter.unwritten_calls)
-            counter.record_start("w", stage.now_s)
+            counter.record_start("w", harness.now_s)
             await asyncio.sleep(0.1)
             assert counter.unwritten_calls
             counter.flush_now()
@@ -174,157 +177,159 @@
     run(body)
 
 
-@pytest.mark.parametrize(("nodes", "want_s"), [(3, 0.05), (64, 0.43), (195, 1.3), (390, 2.5)])
-def test_a_large_fleet_writes_less_often(nodes: int, want_s: float) -> None:
-    assert write_interval_s(nodes) == pytest.approx(want_s, abs=0.01)
+@pytest.mark.parametrize(("nodes", "expected_s"), [(3, 0.05), (64, 0.43), (195, 1.3), (390, 2.5)])
+def test_nodes_of_a_large_fleet_write_less_often(nodes: int, expected_s: float) -> None:
+    assert write_interval_s(nodes) == pytest.approx(expected_s, abs=0.01)
 
 
-def write(stage: Stage, record: CountsAdded | ReportFixed, unique: str) -> None:
-    stage.log.topic(USAGE_TOPIC).do_append([encode_entry(record, unique)], -1)
+def write_record(harness: UsageHarness, record: CountsAdded | CountsFinalized, unique: str) -> None:
+    harness.log.topic(USAGE_TOPIC).do_append([encode_entry(record, unique)], -1)
 
 
 def test_each_window_is_reported_once_with_the_counts_of_all_nodes() -> None:
-    async def body(stage: Stage) -> None:
-        window = stage.window
-        write(stage, CountsAdded(window, {"w": 2}), "n1.1")
-        duty = await stage.holder(7)
+    async def body(harness: UsageHarness) -> None:
+        window = harness.window
+        write_record(harness, CountsAdded(window, {"w": 2}), "n1.1")
+        duty = await harness.start_holder(7)
         await asyncio.sleep(0.1)
-        assert window not in stage.api.taken
-        write(stage, CountsAdded(window, {"w": 1, "v": 1}), "n2.1")
-        stage.now_s += WINDOW_S + 5.0
-        assert await stage.reported(window) == {"w": 3, "v": 1}
+        assert window not in harness.api.taken
+        write_record(harness, CountsAdded(window, {"w": 1, "v": 1}), "n2.1")
+        harness.now_s += WINDOW_S + 5.0
+        assert await harness.reported(window) == {"w": 3, "v": 1}
         await asyncio.sleep(0.1)
         duty.stop()
-        assert [call for call in stage.api.calls if call[0] == window] == [(window, 7)]
+        assert [call for call in harness.api.calls if call[0] == window] == [(window, 7)]
 
     run(body)
 
 
 @pytest.mark.parametrize("answer", ["unanswered", "lost", ReportOutcome.BUSY])
-def test_an_heir_sends_the_figures_that_its_forerunner_fixed(answer: str | ReportOutcome) -> None:
-    """Guards against two reports of one window: its holder dies as its call is under way."""
-
-    async def body(stage: Stage) -> None:
-        window = stage.window
-        write(stage, CountsAdded(window, {"w": 2}), "n1.1")
-        stage.now_s += WINDOW_S + 5.0
-        stage.api.answers = [answer] * 99
-        first = await stage.holder(7)
-        await until(lambda: any(call[0] == window for call in stage.api.calls))
+def test_the_next_holder_sends_the_counts_that_were_finalized(
+    answer: str | ReportOutcome,
+) -> None:
+    """Guards against two different reports of a window when its holder dies during the call."""
+
+    async def body(harness: UsageHarness) -> None:
+        window = harness.window
+        write_record(harness, CountsAdded(window, {"w": 2}), "n1.1")
+        harness.now_s += WINDOW_S + 5.0
+        harness.api.answers = [answer] * 99
+        first = await harness.start_holder(7)
+        await until(lambda: any(call[0] == window for call in harness.api.calls))
         first.stop()
-        # A count that comes too late changes no figures that may have been sent.
-        write(stage, CountsAdded(window, {"w": 1}), "n2.1")
-        stage.api.answers = []
-        heir = await stage.holder(9)
-        assert await stage.reported(window) == {"w": 2}
-        await until(lambda: (window, 9) in stage.api.calls)
-        heir.stop()
+        # A late count must not change counts that may have been sent.
+        write_record(harness, CountsAdded(window, {"w": 1}), "n2.1")
+        harness.api.answers = []
+        second = await harness.start_holder(9)
+        assert await harness.reported(window) == {"w": 2}
+        await until(lambda: (window, 9) in harness.api.calls)
+        second.stop()
 
     run(body)
 
 
-def test_of_two_holders_figures_the_first_in_the_log_hold_for_both() -> None:
-    """Guards against a holder that wakes and sends its own figures beside its heir's."""
+def test_the_first_final_counts_in_the_log_are_binding_for_all_holders() -> None:
+    """Guards against a resumed former holder that sends counts other than the current one's."""
 
-    async def body(stage: Stage) -> None:
-        window = stage.window
-        write(stage, ReportFixed(window, {"w": 5}), "9.a")
-        write(stage, ReportFixed(window, {"w": 4}), "7.b")
-        stage.now_s += WINDOW_S + 5.0
-        duty = await stage.holder(7)
-        assert await stage.reported(window) == {"w": 5}
+    async def body(harness: UsageHarness) -> None:
+        window = harness.window
+        write_record(harness, CountsFinalized(window, {"w": 5}), "9.a")
+        write_record(harness, CountsFinalized(window, {"w": 4}), "7.b")
+        harness.now_s += WINDOW_S + 5.0
+        duty = await harness.start_holder(7)
+        assert await harness.reported(window) == {"w": 5}
         duty.stop()
 
     run(body)
 
 
-def test_a_holder_that_is_not_confirmed_sends_nothing() -> None:
-    """Guards against a holder that stood still and acts beside its heir."""
+def test_an_unconfirmed_holder_sends_nothing() -> None:
+    """Guards against a resumed former holder that acts at the same time as the current one."""
 
-    async def body(stage: Stage) -> None:
-        asked: list[float] = []
-        stage.now_s += WINDOW_S + 5.0
-        duty = await stage.holder(7, may_act=lambda within: bool(asked.append(within)))
-        await until(lambda: len(asked) > 5)
+    async def body(harness: UsageHarness) -> None:
+        checks: list[float] = []
+        harness.now_s += WINDOW_S + 5.0
+        duty = await harness.start_holder(7, may_act=lambda within: bool(checks.append(within)))
+        await until(lambda: len(checks) > 5)
         duty.stop()
-        assert stage.api.calls == []
-        assert stage.log.topic(USAGE_TOPIC).entries == []
+        assert harness.api.calls == []
+        assert harness.log.topic(USAGE_TOPIC).entries == []
 
     run(body)
 
 
-def test_figures_wait_for_the_nodes_that_the_log_turned_away_and_no_longer(
+def test_counts_are_finalized_later_after_an_outage_of_the_log(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against figures without late counts, and windows missed by a holder that dies next."""
-    monkeypatch.setattr("samphirecleat.usage._reporter.WRITTEN_AFTER_OUTAGE_S", 1e6)
+    """Guards against missing late counts, and windows missed if the holder dies afterwards."""
+    monkeypatch.setattr("samphirecleat.usage._reporter.OUTAGE_RECOVERY_S", 1e6)
 
-    async def body(stage: Stage) -> None:
-        window = stage.window
-        duty = await stage.holder(7)
+    async def body(harness: UsageHarness) -> None:
+        window = harness.window
+        duty = await harness.start_holder(7)
         await asyncio.sleep(0.05)
-        stage.log.topic(USAGE_TOPIC).down = stage.log.down = True
-        # A read that waits for news sees that the log is away when its wait is over.
+        harness.log.topic(USAGE_TOPIC).down = harness.log.down = True
+        # A waiting read notices the outage only when its wait is over.
         await asyncio.sleep(0.8)
-        stage.log.topic(USAGE_TOPIC).down = stage.log.down = False
-        stage.now_s += WINDOW_S + 4.0
+        harness.log.topic(USAGE_TOPIC).down = harness.log.down = False
+        harness.now_s += WINDOW_S + 4.0
         await asyncio.sleep(0.6)
-        assert window not in stage.api.taken
-        write(stage, CountsAdded(window, {"w": 1}), "n2.1")
-        monkeypatch.setattr("samphirecleat.usage._reporter.WRITTEN_AFTER_OUTAGE_S", 0.0)
-        assert await stage.reported(window) == {"w": 1}
+        assert window not in harness.api.taken
+        write_record(harness, CountsAdded(window, {"w": 1}), "n2.1")
+        monkeypatch.setattr("samphirecleat.usage._reporter.OUTAGE_RECOVERY_S", 0.0)
+        assert await harness.reported(window) == {"w": 1}
         duty.stop()
 
     run(body)
 
 
-def test_a_fenced_holder_reports_no_more() -> None:
-    async def body(stage: Stage) -> None:
-        stage.api.answers = [ReportOutcome.FENCED] * 99
-        stage.now_s += WINDOW_S + 5.0
-        duty = await stage.holder(7)
+def test_a_fenced_holder_stops_reporting() -> None:
+    async def body(harness: UsageHarness) -> None:
+        harness.api.answers = [ReportOutcome.FENCED] * 99
+        harness.now_s += WINDOW_S + 5.0
+        duty = await harness.start_holder(7)
         await until(lambda: duty.out_of_reach)
         await asyncio.sleep(0.1)
         duty.stop()
-        assert len(stage.api.calls) <= 3
+        assert len(harness.api.calls) <= 3
 
     run(body)
 
 
-def test_a_holder_that_the_platform_does_not_answer_gives_its_place_to_another() -> None:
-    """Guards against windows that are missed because their holder alone is cut off."""
+def test_a_holder_cut_off_from_the_platform_is_out_of_reach() -> None:
+    """Guards against windows that are missed because only the holder is cut off."""
 
-    async def body(stage: Stage) -> None:
-        stage.api.answers = ["lost"] * 999
-        stage.now_s += WINDOW_S + 5.0
-        duty = await stage.holder(7)
-        await until(lambda: len(stage.api.calls) >= 5)
+    async def body(harness: UsageHarness) -> None:
+        harness.api.answers = ["lost"] * 999
+        harness.now_s += WINDOW_S + 5.0
+        duty = await harness.start_holder(7)
+        await until(lambda: len(harness.api.calls) >= 5)
         assert not duty.out_of_reach
-        stage.store_answers = False
+        harness.store_answers = False
         assert duty.out_of_reach
         duty.stop()
 
     run(body)
 
 
-def test_old_windows_are_dropped_from_the_log() -> None:
-    async def body(stage: Stage) -> None:
-        old = stage.window
-        write(stage, CountsAdded(old, {"w": 2}), "n1.1")
-        stage.now_s += 200.0
-        duty = await stage.holder(7)
-        await until(lambda: any(not e.value for e in stage.log.topic(USAGE_TOPIC).entries))
+def test_old_windows_are_deleted_from_the_log() -> None:
+    async def body(harness: UsageHarness) -> None:
+        old = harness.window
+        write_record(harness, CountsAdded(old, {"w": 2}), "n1.1")
+        harness.now_s += 200.0
+        duty = await harness.start_holder(7)
+        await until(lambda: any(not e.value for e in harness.log.topic(USAGE_TOPIC).entries))
         duty.stop()
-        kept = await stage.log.topic(USAGE_TOPIC).newest("counts/")
+        kept = await harness.log.topic(USAGE_TOPIC).newest("counts/")
         assert kept.entries == []
 
     run(body)
 
 
-def test_entries_that_are_not_understood_change_nothing() -> None:
+def test_malformed_entries_are_ignored() -> None:
     ledger = UsageLedger(Observer("n1"))
     good = encode_entry(CountsAdded(3, {"w": 1}), "n1.1")
-    ledger.take(
+    ledger.apply(
         [
             LogEntry(0, "counts/3/x", b"\xff"),
             LogEntry(1, "other/3/x", b"1"),
