--- a/samphirecleat/platform/_generation_stream.py
+++ b/samphirecleat/platform/_generation_stream.py
@@ -86,9 +86,7 @@
     :raises GenerationError: when it isn't.
     """
     if response.status == MISDIRECTED_STATUS:
-        raise GenerationError(
-            "target was replaced by another instance", GenerationEnd.WRONG_INSTANCE
-        )
+        raise GenerationError("replaced", GenerationEnd.WRONG_INSTANCE)
     if NOT_RUN in response.headers:
         await response.read()
         raise GenerationError(
@@ -101,6 +99,6 @@
         raise GenerationError("engine can never run this item", GenerationEnd.IMPOSSIBLE)
     if response.status == FAILED_STATUS:
         await response.read()
-        raise GenerationError("run failed at the engine", GenerationEnd.FAILED)
+        raise GenerationError("failed", GenerationEnd.FAILED)
     if response.status != 200 or response.headers.get("Content-Encoding"):
         raise GenerationError(f"HTTP {response.status}", GenerationEnd.BROKEN)
--- a/tests/platform/standin_targets.py
+++ b/tests/platform/standin_targets.py
@@ -81,7 +81,7 @@
             return response
         return web.Response(body=b"answer to " + request_id.encode(), headers=headers)
 
-    async def _hold(self, request: web.Request) -> None:
+    async def _wait_for_resume(self, request: web.Request) -> None:
         while not self.resume.is_set():
             if request.transport is None or request.transport.is_closing():
                 self.disconnected.set()
@@ -112,6 +112,6 @@
                 return response
             await response.write(event)
             if number == self.pause_after:
-                await self._hold(request)
+                await self._wait_for_resume(request)
         await response.write_eof()
         return response
