--- a/samphirecleat/usage/_true_clock.py
+++ b/samphirecleat/usage/_true_clock.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 from typing import Final, NamedTuple
 
-# With fewer samples there is no majority, and the host's own clock is used.
+# With fewer samples there is no majority, and the offset stays unchanged.
 MIN_SAMPLES: Final = 3
 # The event loop's clock stops while the host is suspended, so samples from before a suspension
 # longer than this are discarded.
