--- a/samphirecleat/bench/_usage.py
+++ b/samphirecleat/bench/_usage.py
@@ -11,9 +11,9 @@
 from heapq import heappop, heappush
 from typing import Final, NamedTuple
 
-from ..usage import CountsAdded, write_gap_s
-from ..usage._counter import SHORTEST_GAP_S
-from ..usage._records import entry_of
+from ..usage import CountsAdded, write_interval_s
+from ..usage._counter import MIN_WRITE_INTERVAL_S
+from ..usage._records import encode_entry
 from ._harness import BenchResult, BenchRow, average_runs
 
 DEFAULT_SEED: Final = 23
@@ -55,11 +55,11 @@
 
 
 def _as_rate_allows(nodes: int, at_s: float, last_s: float) -> float:
-    return max(at_s + SHORTEST_GAP_S, last_s + write_gap_s(nodes))
+    return max(at_s + MIN_WRITE_INTERVAL_S, last_s + write_interval_s(nodes))
 
 
 def _after_a_pause(nodes: int, at_s: float, _last_s: float) -> float:
-    return at_s + write_gap_s(nodes)
+    return at_s + write_interval_s(nodes)
 
 
 def _at_window_end(_nodes: int, at_s: float, _last_s: float) -> float:
@@ -145,7 +145,7 @@
             by_window.setdefault(window, {})[f"workspace-{workspace}"] = calls
         self._appends += 1
         for window, counts in by_window.items():
-            key, value = entry_of(CountsAdded(window, counts), "0123456789ab.1")
+            key, value = encode_entry(CountsAdded(window, counts), "0123456789ab.1")
             self._log_bytes += len(key) + len(value) + 5
         self._kept += held.unwritten
 
--- a/samphirecleat/usage/__init__.py
+++ b/samphirecleat/usage/__init__.py
@@ -1,15 +1,15 @@
-"""Usage of workspaces: counted where calls run, kept in the log, reported once a window."""
+"""Usage accounting: counts each workspace's calls and reports them to the platform per window."""
 
-from ._counter import UsageCounter, write_gap_s
+from ._counter import UsageCounter, write_interval_s
 from ._ledger import UsageLedger
-from ._records import CountsAdded, ReportFixed, WindowCounts
+from ._records import CountsAdded, CountsFinalized, WindowCounts
 from ._reporter import (
     REPORT_SUBJECT,
     ReportOutcome,
-    ReportTerms,
+    ReportSchedule,
     UsageChannel,
+    UsageDependencies,
     UsageDuty,
-    UsageParts,
 )
 from ._true_clock import ClockSample, TrueClock
 
@@ -17,15 +17,15 @@
     "REPORT_SUBJECT",
     "ClockSample",
     "CountsAdded",
-    "ReportFixed",
+    "CountsFinalized",
     "ReportOutcome",
-    "ReportTerms",
+    "ReportSchedule",
     "TrueClock",
     "UsageChannel",
     "UsageCounter",
     "UsageDuty",
     "UsageLedger",
-    "UsageParts",
+    "UsageDependencies",
     "WindowCounts",
-    "write_gap_s",
+    "write_interval_s",
 ]
--- a/tests/platform/standin_ending.py
+++ b/tests/platform/standin_ending.py
@@ -16,7 +16,7 @@
     """A target that crashes on calls whose path starts with ``crash_path``, and restarts later.
 
     Each start registers a new instance at the same address. ``crash_request_ids`` holds the id of
-    each call that crashed it. A call to ``/plain/slow`` runs until ``go_on`` is set.
+    each call that crashed it. A call to ``/plain/slow`` runs until ``resume`` is set.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
             await asyncio.Event().wait()
         if addressed and request.raw_path.startswith("/plain/slow"):
             self.slow_calls += 1
-            await self.go_on.wait()
+            await self.resume.wait()
         return await super()._call(request)
 
     async def _restart_later(self) -> None:
--- a/tests/platform/standin_targets.py
+++ b/tests/platform/standin_targets.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's targets: engines that stream items, and plain services."""
+"""Stand-in of the platform's targets: engines that stream items, and plain services."""
 
 import asyncio
 from collections import Counter
@@ -9,11 +9,12 @@
 
 
 class TargetStandIn(StandInServer):
-    """A target that runs calls, streams items, and takes orders.
+    """A target that runs calls, streams items, and accepts orders.
 
-    ``answers`` says what becomes of the next calls: ``refused``, ``reset``, ``other id``,
-    ``no signature``, ``cut``, ``surplus``, ``encoded`` or a status. Behind the event
-    ``hold_after`` a stream waits for ``go_on``; ``dropped`` is set when its caller leaves.
+    ``answers`` holds the results of the next calls: ``refused``, ``reset``, ``other id``,
+    ``no signature``, ``cut``, ``encoded`` or a status. After the event number ``pause_after``, a
+    stream waits until ``resume`` is set. ``disconnected`` is set when its caller disconnects
+    meanwhile.
     """
 
     def __init__(self, instance: str, *, events: int = 5, pause_s: float = 0.005) -> None:
@@ -26,9 +27,9 @@
         self.answers: list[str | int] = []
         self.seen: list[tuple[str, str, dict[str, str], bytes]] = []
         self.runs: Counter[str] = Counter()
-        self.hold_after = 0
-        self.go_on = asyncio.Event()
-        self.dropped = asyncio.Event()
+        self.pause_after = 0
+        self.resume = asyncio.Event()
+        self.disconnected = asyncio.Event()
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
         router.add_get("/v1/report", self._report)
@@ -80,10 +81,10 @@
             return response
         return web.Response(body=b"answer to " + request_id.encode(), headers=headers)
 
-    async def _hold(self, request: web.Request) -> None:
-        while not self.go_on.is_set():
+    async def _wait_for_resume(self, request: web.Request) -> None:
+        while not self.resume.is_set():
             if request.transport is None or request.transport.is_closing():
-                self.dropped.set()
+                self.disconnected.set()
                 return
             await asyncio.sleep(0.01)
 
@@ -96,19 +97,21 @@
         headers["Content-Type"] = "text/event-stream"
         response = web.StreamResponse(headers=headers)
         await response.prepare(request)
-        told = self.version
+        sent_version = self.version
         for number in range(first, self.events + 1):
             await asyncio.sleep(self.pause_s)
-            changed = f"x-weight-versions: {self.version}\n" if self.version != told else ""
-            told = self.version
-            event = f"{changed}id: {number}\ndata: {number}.{self.events}\n\n".encode()
+            version_line = (
+                f"x-weight-versions: {self.version}\n" if self.version != sent_version else ""
+            )
+            sent_version = self.version
+            event = f"{version_line}id: {number}\ndata: {number}.{self.events}\n\n".encode()
             if cut and number == self.events // 2 + 1:
                 await response.write(event[: len(event) // 2])
                 assert request.transport is not None
                 request.transport.abort()
                 return response
             await response.write(event)
-            if number == self.hold_after:
-                await self._hold(request)
+            if number == self.pause_after:
+                await self._wait_for_resume(request)
         await response.write_eof()
         return response
--- a/tests/platform/test_crashing_calls.py
+++ b/tests/platform/test_crashing_calls.py
@@ -183,12 +183,12 @@
         ):
             await await_ready(nodes, caller)
             for target in targets:
-                target.go_on.set()
+                target.resume.set()
             for number, _host in enumerate(nodes.hosts):
                 assert await send(session, nodes, 90 + number, path="/plain/slow") == 200
             for again in range(3):
                 for target in targets:
-                    target.go_on.clear()
+                    target.resume.clear()
                     target.slow_calls = 0
                 first = 10 * again
                 sent = [
@@ -200,7 +200,7 @@
                         await asyncio.sleep(0.01)
                 for target in targets:
                     target.crash()
-                    target.go_on.set()
+                    target.resume.set()
                 statuses = await asyncio.gather(*sent)
                 assert set(statuses) <= {200, *GATEWAY_ERRORS}
                 await await_ready(nodes, caller)
--- a/tests/platform/test_keys.py
+++ b/tests/platform/test_keys.py
@@ -122,12 +122,12 @@
             nodes.extra_bounds = f"revokeFailClosed = {flag}\nrevocationMs = 1500"
             await nodes.start_one(host)
             await caller.call("POST", "/plain/1", headers=bearer("shop-1"))
-            store.refusing = 503
+            store.error_status = 503
             await asyncio.sleep(2.0)
             status = 503 if fails_closed else 200
             await caller.call("POST", "/plain/1", status=status, headers=bearer("shop-1"))
             await caller.call("POST", "/plain/1", status=503, headers=bearer("unheard-of"))
-            store.refusing = 0
+            store.error_status = 0
             await caller.call("POST", "/plain/1", headers=bearer("shop-1"))
             await caller.call("POST", "/plain/1", status=401, headers=bearer("unheard-of"))
 
@@ -144,10 +144,10 @@
             nodes.extra_bounds = "revokeFailClosed = true\nrevocationMs = 700"
             nodes.write_settings(host, nodes.settings(host))
             await asyncio.sleep(0.5)
-            store.refusing = 503
+            store.error_status = 503
             await asyncio.sleep(1.2)
             await caller.call("POST", "/plain/1", status=503, headers=bearer("shop-1"))
-            store.refusing = 0
+            store.error_status = 0
             await caller.call("POST", "/plain/1", headers=bearer("shop-1"))
 
     asyncio.run(body())
