--- a/samphirecleat/bench/_blame.py
+++ b/samphirecleat/bench/_blame.py
@@ -12,7 +12,7 @@
 from heapq import heappop, heappush
 from typing import Final, NamedTuple
 
-from ..crashes import MIN_ENDS_TO_REFUSE, CrashLedger, CrashVerdict, RunEnd
+from ..crashes import MIN_CRASHES_TO_REFUSE, CrashedRun, CrashLedger, CrashVerdict
 from ._harness import BenchResult, BenchRow, average_runs
 
 DEFAULT_SEED: Final = 31
@@ -53,15 +53,15 @@
 def _by_count(ledger: CrashLedger, mark: bytes, now_s: float) -> bool:
     del now_s
     suspect = ledger.suspects.get(mark)
-    return suspect is not None and len(suspect.ends) >= MIN_ENDS_TO_REFUSE
+    return suspect is not None and len(suspect.crashed_runs) >= MIN_CRASHES_TO_REFUSE
 
 
 def _by_count_later(ledger: CrashLedger, mark: bytes, now_s: float) -> bool:
     """Refuse after three ends without an answer that followed them closely."""
     suspect = ledger.suspects.get(mark)
-    if suspect is None or now_s - suspect.last_end_s() < KEEP_HOUSE_S:
+    if suspect is None or now_s - suspect.last_crash_s() < KEEP_HOUSE_S:
         return False
-    return len(suspect.ends) >= MIN_ENDS_TO_REFUSE
+    return len(suspect.crashed_runs) >= MIN_CRASHES_TO_REFUSE
 
 
 RULES: Final = (
@@ -146,8 +146,8 @@
 
         def cut(at_s: float) -> None:
             self._cut += 1
-            self._ledger.note_end(mark, RunEnd(start, now_s, at_s, "n"), at_s)
-            self._ledger.recall_answer(mark, at_s)
+            self._ledger.record_crash(mark, CrashedRun(start, now_s, at_s, "n"), at_s)
+            self._ledger.apply_remembered_answer(mark, at_s)
             if self._ledger.awaits_verdict(mark):
                 self._look_at_others(at_s)
             self._attempt(mark, at_s, attempts - 1, sendings)
@@ -156,7 +156,7 @@
             if self._running[target].pop(run, None) is not None:
                 self._ledger.remember_answer(mark, at_s)
                 if mark in self._ledger.suspects:
-                    self._ledger.note_answer(mark, at_s)
+                    self._ledger.record_answer(mark, at_s)
 
         self._running[target][run] = cut
         self._at(now_s + self._rng.uniform(*RUN_S), answer)
@@ -177,7 +177,7 @@
         for target in self._rng.sample(range(TARGETS), OTHERS_LOOKED_AT):
             if not self._up[target]:
                 name = f"{target}@{self._starts[target]}"
-                self._ledger.note_ended_target(name, now_s, now_s)
+                self._ledger.record_crashed_target(name, now_s, now_s)
 
     def _crash_one(self, now_s: float) -> None:
         self._end(self._faults.randrange(TARGETS), now_s)
--- a/samphirecleat/bench/_crashes.py
+++ b/samphirecleat/bench/_crashes.py
@@ -14,7 +14,7 @@
 from typing import Final, NamedTuple
 
 from ..blackboard import Member
-from ..crashes import MIN_ENDS_TO_REFUSE, CrashGossip, CrashLedger, CrashVerdict, RunEnd
+from ..crashes import MIN_CRASHES_TO_REFUSE, CrashedRun, CrashGossip, CrashLedger, CrashVerdict
 from ..crashes._call_mark import DIGEST_BYTES
 from ..durable import reading_pause_s
 from ..durable._crash_records import MIN_RECORDED_ENDS
@@ -111,9 +111,12 @@
             if at_s > LENGTH_S:
                 break
             act(at_s)
-            if at_s >= self._next_look_s and len(self._ends[self._marks[0]]) >= MIN_ENDS_TO_REFUSE:
+            if (
+                at_s >= self._next_look_s
+                and len(self._ends[self._marks[0]]) >= MIN_CRASHES_TO_REFUSE
+            ):
                 self._look_who_knows(at_s)
-        third_s = self._ends[self._marks[0]][MIN_ENDS_TO_REFUSE - 1]
+        third_s = self._ends[self._marks[0]][MIN_CRASHES_TO_REFUSE - 1]
         peak = max(self._peer_bytes.values(), default=0) / self._count
         return {
             "all_know_s": min(LENGTH_S, self._known_s - third_s),
@@ -160,17 +163,17 @@
             ends = self._ends[mark]
             ends.append(now_s)
             name = f"t{mark[0]}.{len(ends)}@0"
-            self._see(mark, number, RunEnd(name, begun_s, now_s, f"n{number}"))
+            self._see(mark, number, CrashedRun(name, begun_s, now_s, f"n{number}"))
             wait_s = self._ask(mark, number, now_s) if self._way.asks else 0.0
             self._send(mark, number, now_s + wait_s, attempts - 1, after)
 
         self._at(at_s, begin)
 
-    def _see(self, mark: bytes, number: int, end: RunEnd) -> None:
+    def _see(self, mark: bytes, number: int, end: CrashedRun) -> None:
         node = self._nodes[number]
-        node.ledger.note_end(mark, end, end.ended_s)
-        node.news.announce_end(mark, end.target, end.ended_s)
-        ends = list(node.ledger.suspects[mark].ends.values())
+        node.ledger.record_crash(mark, end, end.ended_s)
+        node.news.announce_crash(mark, end.target, end.ended_s)
+        ends = list(node.ledger.suspects[mark].crashed_runs.values())
         if 0 < self._way.log_from <= len(ends):
             self._store_calls += 1
             pause_s = reading_pause_s(self._count, runs_work=False)
@@ -179,10 +182,12 @@
                 heard_s = end.ended_s + 2.0 * STORE_S + self._network.uniform(0.0, pause_s)
                 self._at(heard_s, self._hear_of(other, mark, ends))
 
-    def _hear_of(self, node: _Node, mark: bytes, ends: Sequence[RunEnd]) -> Callable[[float], None]:
+    def _hear_of(
+        self, node: _Node, mark: bytes, ends: Sequence[CrashedRun]
+    ) -> Callable[[float], None]:
         def hear(now_s: float) -> None:
             for end in ends:
-                node.ledger.note_end(mark, end, now_s)
+                node.ledger.record_crash(mark, end, now_s)
 
         return hear
 
@@ -193,8 +198,8 @@
         self._count_bytes(at_s, 2 * QUESTION_BYTES * (self._count - 1))
         for other in self._nodes:
             suspect = other.ledger.suspects.get(mark)
-            for end in suspect.ends.values() if suspect is not None else ():
-                node.ledger.note_end(mark, end, at_s)
+            for end in suspect.crashed_runs.values() if suspect is not None else ():
+                node.ledger.record_crash(mark, end, at_s)
         return 2.0 * max(self._network.uniform(*DATAGRAM_S) for _ in range(self._count))
 
     def _beat_of(self, number: int) -> Callable[[float], None]:
@@ -229,7 +234,8 @@
         self._next_look_s = now_s + LOOK_S
         known = [node.ledger.suspects.get(self._marks[0]) for node in self._nodes]
         if all(
-            suspect is not None and len(suspect.ends) >= MIN_ENDS_TO_REFUSE for suspect in known
+            suspect is not None and len(suspect.crashed_runs) >= MIN_CRASHES_TO_REFUSE
+            for suspect in known
         ):
             self._known_s = now_s
             self._next_look_s = math.inf
@@ -239,9 +245,9 @@
 
 def _sent_on(ends_s: Sequence[float]) -> int:
     """Return how many ends of a request began when all nodes could know of its third."""
-    if len(ends_s) < MIN_ENDS_TO_REFUSE:
+    if len(ends_s) < MIN_CRASHES_TO_REFUSE:
         return 0
-    known_s = ends_s[MIN_ENDS_TO_REFUSE - 1] + TOUCH_S
+    known_s = ends_s[MIN_CRASHES_TO_REFUSE - 1] + TOUCH_S
     return sum(at_s - RUN_S > known_s for at_s in ends_s)
 
 
--- a/samphirecleat/crashes/__init__.py
+++ b/samphirecleat/crashes/__init__.py
@@ -11,18 +11,25 @@
 )
 from ._ledger import CrashLedger
 from ._news import CrashGossip
-from ._suspect import MAX_ENDS, MIN_ENDS_TO_REFUSE, SETTLE_S, CrashVerdict, RunEnd, Suspect
+from ._suspect import (
+    MAX_CRASHES,
+    MIN_CRASHES_TO_REFUSE,
+    SETTLE_S,
+    CrashedRun,
+    CrashVerdict,
+    Suspect,
+)
 
 __all__ = [
-    "MIN_ENDS_TO_REFUSE",
-    "MAX_ENDS",
+    "MIN_CRASHES_TO_REFUSE",
+    "MAX_CRASHES",
     "SETTLE_S",
     "CrashGuard",
     "CrashLedger",
     "CrashGossip",
     "EvidenceRecorder",
     "RegistrationState",
-    "RunEnd",
+    "CrashedRun",
     "CrashVerdict",
     "Suspect",
     "TargetStart",
--- a/samphirecleat/crashes/_guard.py
+++ b/samphirecleat/crashes/_guard.py
@@ -9,7 +9,7 @@
 from ._barred import is_barred
 from ._ledger import CrashLedger
 from ._news import NO_CALL, CrashGossip
-from ._suspect import CrashVerdict, RunEnd
+from ._suspect import CrashedRun, CrashVerdict
 
 # A target that still listens right after it cut a call may have restarted at once. Its registration
 # shows this within three of its heartbeats plus the latency to this node.
@@ -133,10 +133,10 @@
         now_s = asyncio.get_running_loop().time()
         self._ledger.remember_answer(digest, now_s)
         suspect = self._ledger.suspects.get(digest)
-        if suspect is None or not suspect.ends:
+        if suspect is None or not suspect.crashed_runs:
             return
-        ends = len(suspect.ends)
-        if self._ledger.note_answer(digest, now_s):
+        ends = len(suspect.crashed_runs)
+        if self._ledger.record_answer(digest, now_s):
             self._log.info(
                 "request=%s call=%s answered cleared_ends=%d", request_id, digest.hex(), ends
             )
@@ -208,7 +208,7 @@
             self._log.error(
                 "call=%s barred evidence=%s", digest.hex(), self.evidence(digest, now_s)
             )
-            ends = self._ledger.suspects[digest].ends.values()
+            ends = self._ledger.suspects[digest].crashed_runs.values()
             self._recorder.record(digest, own=any(end.node == self._node_id for end in ends))
         for digest in self._ledger.forget(now_s):
             self._recorder.record(digest, own=False)
@@ -216,7 +216,7 @@
     def _announce_refused(self) -> None:
         for digest, suspect in self._ledger.suspects.items():
             if suspect.refused:
-                for target in suspect.ends:
+                for target in suspect.crashed_runs:
                     self._gossip.announce(digest, target)
 
     def evidence(self, digest: bytes, now_s: float) -> str:
@@ -224,29 +224,29 @@
         suspect = self._ledger.suspects.get(digest)
         if suspect is None:
             return "none"
-        ends = sorted(suspect.ends.values(), key=lambda end: end.ended_s)
+        ends = sorted(suspect.crashed_runs.values(), key=lambda end: end.ended_s)
         return ",".join(f"{end.target}/{end.node}/{now_s - end.ended_s:.1f}s" for end in ends)
 
     def _count_end(self, cut: _Cut) -> None:
         now_s = asyncio.get_running_loop().time()
         name = cut.start.name
-        end = RunEnd(name, cut.begun_s, cut.cut_s, self._node_id)
-        if not self._ledger.note_end(cut.digest, end, now_s):
+        end = CrashedRun(name, cut.begun_s, cut.cut_s, self._node_id)
+        if not self._ledger.record_crash(cut.digest, end, now_s):
             return
         self._observer.counters["crash_ends_seen"] += 1
-        self._gossip.announce_end(cut.digest, name, now_s)
+        self._gossip.announce_crash(cut.digest, name, now_s)
         self._recorder.record(cut.digest, own=True)
 
     async def _probe_others(self, digest: bytes, start: TargetStart) -> None:
         """Check whether targets crashed that didn't run the call, as when a whole zone fails."""
-        ended = self._ledger.ended_targets
+        ended = self._ledger.crashed_targets
         sample = [other for other in self._others(start) if other.name not in ended]
         sample = sample[:MAX_PROBED_TARGETS]
         now_s = asyncio.get_running_loop().time()
         listening = await asyncio.gather(*(self._probe(other, now_s) for other in sample))
         gone = [other.name for other, is_up in zip(sample, listening, strict=True) if not is_up]
         for name in gone:
-            if self._ledger.note_ended_target(name, now_s, now_s):
+            if self._ledger.record_crashed_target(name, now_s, now_s):
                 self._gossip.announce(NO_CALL, name)
         self._log.info(
             "call=%s probed other targets looked_at=%d ended=%s",
--- a/samphirecleat/crashes/_ledger.py
+++ b/samphirecleat/crashes/_ledger.py
@@ -14,8 +14,8 @@
 
 from ._suspect import (
     SETTLE_S,
+    CrashedRun,
     CrashVerdict,
-    RunEnd,
     Suspect,
     crashes_targets,
     may_crash_targets,
@@ -45,35 +45,37 @@
     def __init__(self) -> None:
         """Start without suspects."""
         self.suspects: OrderedDict[bytes, Suspect] = OrderedDict()
-        self.ended_targets: OrderedDict[str, float] = OrderedDict()
+        self.crashed_targets: OrderedDict[str, float] = OrderedDict()
         self._answered: OrderedDict[bytes, float] = OrderedDict()
         self._undecided: set[bytes] = set()
 
-    def note_end(self, digest: bytes, end: RunEnd, now_s: float, *, fresh: bool = True) -> bool:
+    def record_crash(
+        self, digest: bytes, end: CrashedRun, now_s: float, *, fresh: bool = True
+    ) -> bool:
         """Record a run that ended with its target; return False if it is known or irrelevant.
 
         An end that isn't ``fresh`` happened before this process started and proves nothing alone.
         """
-        self.note_ended_target(end.target, end.ended_s, now_s)
+        self.record_crashed_target(end.target, end.ended_s, now_s)
         suspect = self._get_or_add(digest)
-        if end.target in suspect.ends or end.begun_s <= suspect.answered_s:
+        if end.target in suspect.crashed_runs or end.begun_s <= suspect.answered_s:
             return False
-        if len(suspect.ends) >= MAX_ENDS_PER_CALL:
+        if len(suspect.crashed_runs) >= MAX_ENDS_PER_CALL:
             return False
-        suspect.ends[end.target] = end
+        suspect.crashed_runs[end.target] = end
         suspect.seen_at_s = max(suspect.seen_at_s, now_s)
         suspect.fresh = suspect.fresh or fresh
         if may_crash_targets(suspect):
             self._undecided.add(digest)
         return True
 
-    def note_ended_target(self, target: str, at_s: float, now_s: float) -> bool:
+    def record_crashed_target(self, target: str, at_s: float, now_s: float) -> bool:
         """Record a crashed target, whatever it ran; return False if it is known or too old."""
-        if now_s - at_s > ENDED_TARGET_TTL_S or target in self.ended_targets:
+        if now_s - at_s > ENDED_TARGET_TTL_S or target in self.crashed_targets:
             return False
-        self.ended_targets[target] = at_s
-        if len(self.ended_targets) > MAX_SUSPECTS:
-            self.ended_targets.popitem(last=False)
+        self.crashed_targets[target] = at_s
+        if len(self.crashed_targets) > MAX_SUSPECTS:
+            self.crashed_targets.popitem(last=False)
         return True
 
     def remember_answer(self, digest: bytes, answered_s: float) -> None:
@@ -83,7 +85,7 @@
         if len(self._answered) > MAX_ANSWERS:
             self._answered.popitem(last=False)
 
-    def recall_answer(self, digest: bytes, now_s: float) -> bool:
+    def apply_remembered_answer(self, digest: bytes, now_s: float) -> bool:
         """Apply a remembered answer to a suspect; return False if it changes nothing."""
         answered_s = self._answered.get(digest)
         if answered_s is None or now_s - answered_s > ANSWER_TTL_S:
@@ -91,10 +93,10 @@
         suspect = self._get_or_add(digest)
         if answered_s <= suspect.answered_s:
             return False
-        self.note_answer(digest, answered_s)
+        self.record_answer(digest, answered_s)
         return True
 
-    def note_answer(self, digest: bytes, answered_s: float) -> bool:
+    def record_answer(self, digest: bytes, answered_s: float) -> bool:
         """Record that a target answered a call: earlier crashes under it have another cause.
 
         Return False if that clears nothing. The answer is kept for a while, since reports of
@@ -104,14 +106,16 @@
         if answered_s <= suspect.answered_s:
             return False
         suspect.answered_s = answered_s
-        before = len(suspect.ends)
-        suspect.ends = {t: end for t, end in suspect.ends.items() if end.begun_s > answered_s}
-        cleared = len(suspect.ends) < before or suspect.refused
-        if not suspect.ends:
+        before = len(suspect.crashed_runs)
+        suspect.crashed_runs = {
+            t: end for t, end in suspect.crashed_runs.items() if end.begun_s > answered_s
+        }
+        cleared = len(suspect.crashed_runs) < before or suspect.refused
+        if not suspect.crashed_runs:
             suspect.refused = False
         return cleared
 
-    def note_refused(self, digest: bytes, now_s: float) -> bool:
+    def record_refused(self, digest: bytes, now_s: float) -> bool:
         """Record that another node refuses a call; return False if that is known."""
         suspect = self._get_or_add(digest)
         suspect.seen_at_s = now_s
@@ -130,7 +134,7 @@
         if suspect.refused:
             suspect.seen_at_s = now_s
             return CrashVerdict.REFUSED
-        if not suspect.ends:
+        if not suspect.crashed_runs:
             return CrashVerdict.CLEAR
         if not may_crash_targets(suspect):
             return CrashVerdict.SUSPECT
@@ -169,27 +173,27 @@
         ]
         for digest in expired:
             del self.suspects[digest]
-        while self.ended_targets:
-            target, at_s = next(iter(self.ended_targets.items()))
+        while self.crashed_targets:
+            target, at_s = next(iter(self.crashed_targets.items()))
             if now_s - at_s <= ENDED_TARGET_TTL_S:
                 break
-            del self.ended_targets[target]
+            del self.crashed_targets[target]
         return expired
 
     def _is_settling(self, suspect: Suspect, now_s: float) -> bool:
-        return now_s - suspect.last_end_s() < SETTLE_S
+        return now_s - suspect.last_crash_s() < SETTLE_S
 
     def _refuse_if_proven(self, suspect: Suspect) -> bool:
         suspect.refused = crashes_targets(suspect, self.suspects.values(), self._is_isolated)
         return suspect.refused
 
-    def _is_isolated(self, suspect: Suspect, ends: Sequence[RunEnd]) -> bool:
+    def _is_isolated(self, suspect: Suspect, ends: Sequence[CrashedRun]) -> bool:
         """Whether no target crashed without the call at about the times of some of its crashes."""
         times_s = [end.ended_s for end in ends]
         return not any(
-            target not in suspect.ends
+            target not in suspect.crashed_runs
             and any(abs(at_s - s) <= COMMON_CAUSE_WINDOW_S for s in times_s)
-            for target, at_s in self.ended_targets.items()
+            for target, at_s in self.crashed_targets.items()
         )
 
     def _get_or_add(self, digest: bytes) -> Suspect:
@@ -203,7 +207,8 @@
     def _evict(self) -> None:
         """Evict the calls with the least evidence, the oldest first among equals."""
         ranked = sorted(
-            self.suspects, key=lambda m: (self.suspects[m].refused, len(self.suspects[m].ends))
+            self.suspects,
+            key=lambda m: (self.suspects[m].refused, len(self.suspects[m].crashed_runs)),
         )
         for digest in ranked[:EVICTION_BATCH]:
             del self.suspects[digest]
@@ -212,6 +217,6 @@
 def _is_expired(suspect: Suspect, now_s: float) -> bool:
     if suspect.refused:
         return now_s - suspect.seen_at_s > REFUSED_TTL_S
-    if suspect.ends:
+    if suspect.crashed_runs:
         return now_s - suspect.seen_at_s > SUSPECT_TTL_S
     return now_s - suspect.answered_s > ANSWER_TTL_S
--- a/samphirecleat/crashes/_news.py
+++ b/samphirecleat/crashes/_news.py
@@ -13,7 +13,7 @@
 
 from ..peers import CrashRow, Message
 from ._ledger import CrashLedger
-from ._suspect import MIN_ENDS_TO_REFUSE, RunEnd
+from ._suspect import MIN_CRASHES_TO_REFUSE, CrashedRun
 
 ROWS_PER_MESSAGE: Final = 4
 MAX_PENDING: Final = 512
@@ -39,10 +39,10 @@
         while len(self._pending) > MAX_PENDING:
             self._pending.popitem(last=False)
 
-    def announce_end(self, digest: bytes, target: str, now_s: float) -> None:
+    def announce_crash(self, digest: bytes, target: str, now_s: float) -> None:
         """Queue a report of a crashed run, along with any remembered answer to the call."""
         self.announce(digest, target)
-        if self._ledger.recall_answer(digest, now_s):
+        if self._ledger.apply_remembered_answer(digest, now_s):
             self.announce(digest)
 
     def add_updates(self, message: Message, now_s: float) -> Message:
@@ -64,17 +64,17 @@
         for row in message.crashes:
             ended_s = now_s - row.ended_age_ms / 1000.0
             if row.digest == NO_CALL:
-                if self._ledger.note_ended_target(row.target, ended_s, now_s):
+                if self._ledger.record_crashed_target(row.target, ended_s, now_s):
                     self.announce(NO_CALL, row.target)
                 continue
             if row.target == ANSWERED:
-                if self._ledger.note_answer(row.digest, ended_s):
+                if self._ledger.record_answer(row.digest, ended_s):
                     self.announce(row.digest)
                 continue
             begun_s = now_s - row.begun_age_ms / 1000.0
-            end = RunEnd(row.target, begun_s, ended_s, row.node)
-            if self._ledger.note_end(row.digest, end, now_s):
-                self.announce_end(row.digest, row.target, now_s)
+            end = CrashedRun(row.target, begun_s, ended_s, row.node)
+            if self._ledger.record_crash(row.digest, end, now_s):
+                self.announce_crash(row.digest, row.target, now_s)
 
     def _next_reports(self) -> list[tuple[bytes, str]]:
         """Return the next reports: calls with the most crashes first, then the least sent ones."""
@@ -83,7 +83,7 @@
         def rank(key: tuple[bytes, str]) -> tuple[int, int]:
             suspect = suspects.get(key[0])
             # Reports that clear calls precede those against all but the worst suspects.
-            ends = len(suspect.ends) if suspect is not None else MIN_ENDS_TO_REFUSE - 1
+            ends = len(suspect.crashed_runs) if suspect is not None else MIN_CRASHES_TO_REFUSE - 1
             return (-ends, -self._pending[key])
 
         return sorted(self._pending, key=rank)[:ROWS_PER_MESSAGE]
@@ -91,7 +91,7 @@
     def _row(self, digest: bytes, target: str, now_s: float) -> CrashRow | None:
         """Return the row of a report, None if the report is obsolete."""
         if digest == NO_CALL:
-            ended_s = self._ledger.ended_targets.get(target)
+            ended_s = self._ledger.crashed_targets.get(target)
             if ended_s is None:
                 return None
             age_ms = _age_ms(ended_s, now_s)
@@ -102,7 +102,7 @@
         if target == ANSWERED:
             age_ms = _age_ms(suspect.answered_s, now_s)
             return CrashRow(digest, ANSWERED, "", age_ms, age_ms)
-        end = suspect.ends.get(target)
+        end = suspect.crashed_runs.get(target)
         if end is None:
             return None
         begun_ms, ended_ms = _age_ms(end.begun_s, now_s), _age_ms(end.ended_s, now_s)
--- a/samphirecleat/crashes/_suspect.py
+++ b/samphirecleat/crashes/_suspect.py
@@ -7,11 +7,11 @@
 from typing import Final, NamedTuple
 
 # Crashes that are needed before a call can be refused; sends after these count as retries.
-MIN_ENDS_TO_REFUSE: Final = 3
+MIN_CRASHES_TO_REFUSE: Final = 3
 # This many crashes, including this many after the first burst, refuse a call regardless of other
 # crashes. At that point two of the three allowed retries are used, and the third may be in progress
 # at another node.
-MAX_ENDS: Final = 5
+MAX_CRASHES: Final = 5
 MAX_LATER_ENDS: Final = 2
 # Maximum difference between two nodes' times of one event: the latency of a datagram.
 CLOCK_SLACK_S: Final = 0.03
@@ -20,7 +20,7 @@
 SETTLE_S: Final = 1.0
 
 
-class RunEnd(NamedTuple):
+class CrashedRun(NamedTuple):
     """A run that ended because its target crashed; times are on this node's clock.
 
     ``target`` identifies one start of a target. ``node`` observed the crash.
@@ -53,15 +53,15 @@
     reported that didn't happen before this process started.
     """
 
-    ends: dict[str, RunEnd] = field(default_factory=dict)
+    crashed_runs: dict[str, CrashedRun] = field(default_factory=dict)
     answered_s: float = -math.inf
     fresh: bool = False
     refused: bool = False
     seen_at_s: float = -math.inf
 
-    def last_end_s(self) -> float:
+    def last_crash_s(self) -> float:
         """Return the time of the latest known crash, -inf if there is none."""
-        return max((end.ended_s for end in self.ends.values()), default=-math.inf)
+        return max((end.ended_s for end in self.crashed_runs.values()), default=-math.inf)
 
 
 def may_crash_targets(suspect: Suspect) -> bool:
@@ -72,15 +72,15 @@
     """
     return (
         suspect.fresh
-        and len(suspect.ends) >= MIN_ENDS_TO_REFUSE
-        and _count_sequential_ends(suspect.ends) > 1
+        and len(suspect.crashed_runs) >= MIN_CRASHES_TO_REFUSE
+        and _count_sequential_ends(suspect.crashed_runs) > 1
     )
 
 
 def crashes_targets(
     suspect: Suspect,
     others: Iterable[Suspect],
-    is_isolated: Callable[[Suspect, Sequence[RunEnd]], bool],
+    is_isolated: Callable[[Suspect, Sequence[CrashedRun]], bool],
 ) -> bool:
     """Whether a call is the only plausible cause of the crashes under it.
 
@@ -92,28 +92,28 @@
     """
     if not may_crash_targets(suspect):
         return False
-    bursts = _bursts(suspect.ends)
-    later_ends = len(suspect.ends) - len(bursts[0])
-    if later_ends >= MAX_LATER_ENDS and len(suspect.ends) >= MAX_ENDS:
+    bursts = _bursts(suspect.crashed_runs)
+    later_ends = len(suspect.crashed_runs) - len(bursts[0])
+    if later_ends >= MAX_LATER_ENDS and len(suspect.crashed_runs) >= MAX_CRASHES:
         return True
     if len(bursts) == 1 and suspect.answered_s > -math.inf:
         return False
     latest_burst = bursts[-1]
     target_starts = {end.target for end in latest_burst}
     has_other_cause = any(
-        other is not suspect and target_starts <= other.ends.keys() for other in others
+        other is not suspect and target_starts <= other.crashed_runs.keys() for other in others
     )
     return not has_other_cause and is_isolated(suspect, latest_burst)
 
 
-def _by_time(ends: dict[str, RunEnd]) -> Sequence[RunEnd]:
+def _by_time(ends: dict[str, CrashedRun]) -> Sequence[CrashedRun]:
     return sorted(ends.values(), key=lambda end: end.ended_s)
 
 
-def _count_sequential_ends(ends: dict[str, RunEnd]) -> int:
+def _count_sequential_ends(ends: dict[str, CrashedRun]) -> int:
     """Return the number of sequential crashes; crashes of concurrent runs count once."""
     count = 0
-    last: RunEnd | None = None
+    last: CrashedRun | None = None
     for end in _by_time(ends):
         if last is None or end.begun_s >= last.ended_s + _slack_s({end.node, last.node}):
             count += 1
@@ -125,9 +125,9 @@
     return CLOCK_SLACK_S if len(nodes) > 1 else 0.0
 
 
-def _bursts(ends: dict[str, RunEnd]) -> Sequence[Sequence[RunEnd]]:
+def _bursts(ends: dict[str, CrashedRun]) -> Sequence[Sequence[CrashedRun]]:
     """Group the crashes; a group begins with a run that started after the last one had settled."""
-    groups: list[list[RunEnd]] = []
+    groups: list[list[CrashedRun]] = []
     for end in _by_time(ends):
         if groups and end.begun_s < groups[-1][-1].ended_s + SETTLE_S:
             groups[-1].append(end)
--- a/samphirecleat/durable/_crash_records.py
+++ b/samphirecleat/durable/_crash_records.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ..crashes import CrashLedger, RunEnd
+from ..crashes import CrashedRun, CrashLedger
 from ..observe import Observer
 from ._follower import TopicFollower, no_pause
 from ._ports import AppendOutcome, KeyedLog, LogEntry
@@ -102,9 +102,9 @@
         """Whether the ledger holds information on a call that the log lacks."""
         suspect = self._ledger.suspects.get(mark)
         written = self._written.get(mark)
-        if suspect is None or not suspect.ends:
+        if suspect is None or not suspect.crashed_runs:
             return written is not None
-        if not suspect.refused and len(suspect.ends) < MIN_RECORDED_ENDS:
+        if not suspect.refused and len(suspect.crashed_runs) < MIN_RECORDED_ENDS:
             return False
         if written is None or (suspect.refused and not written.refused):
             return True
@@ -112,7 +112,7 @@
             suspect.refused
             and asyncio.get_running_loop().time() - written.at_s > REFRESH_INTERVAL_S
         )
-        return old or not suspect.ends.keys() <= written.targets
+        return old or not suspect.crashed_runs.keys() <= written.targets
 
     async def _write_loop(self) -> None:
         loop = asyncio.get_running_loop()
@@ -151,7 +151,7 @@
     def _encode_record(self, mark: bytes) -> bytes:
         """Encode the record of a call; an empty one deletes the earlier record."""
         suspect = self._ledger.suspects.get(mark)
-        if suspect is None or not suspect.ends:
+        if suspect is None or not suspect.crashed_runs:
             return b""
         loop_to_wall_s = time.time() - asyncio.get_running_loop().time()
         ends = [
@@ -161,7 +161,7 @@
                 "begun_ms": round((end.begun_s + loop_to_wall_s) * 1000.0),
                 "ended_ms": round((end.ended_s + loop_to_wall_s) * 1000.0),
             }
-            for end in suspect.ends.values()
+            for end in suspect.crashed_runs.values()
         ]
         return msgspec.json.encode({"refused": suspect.refused, "ends": ends})
 
@@ -187,7 +187,7 @@
         body: Mapping[str, Any] = msgspec.json.decode(value)
         wall_to_loop_s = now_s - time.time()
         ends = [
-            RunEnd(
+            CrashedRun(
                 str(row["target"]),
                 float(row["begun_ms"]) / 1000.0 + wall_to_loop_s,
                 float(row["ended_ms"]) / 1000.0 + wall_to_loop_s,
@@ -197,8 +197,8 @@
         ]
         refused = bool(body["refused"])
         for end in ends:
-            self._ledger.note_end(mark, end, now_s, fresh=not historical)
-        if refused and self._ledger.note_refused(mark, now_s):
+            self._ledger.record_crash(mark, end, now_s, fresh=not historical)
+        if refused and self._ledger.record_refused(mark, now_s):
             self._logger.warning("call=%s barred by the log ends=%d", mark.hex(), len(ends))
         self._written[mark] = _PersistedRecord(
             frozenset(end.target for end in ends), refused, now_s
--- a/tests/crashes/test_guard.py
+++ b/tests/crashes/test_guard.py
@@ -64,7 +64,7 @@
     @property
     def ends(self) -> set[str]:
         suspect = self.ledger.suspects.get(CALL)
-        return set() if suspect is None else set(suspect.ends)
+        return set() if suspect is None else set(suspect.crashed_runs)
 
 
 def run_with_fixture(body: Callable[[GuardFixture], Awaitable[None]]) -> None:
--- a/tests/crashes/test_ledger.py
+++ b/tests/crashes/test_ledger.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from samphirecleat.crashes import SETTLE_S, CrashLedger, CrashVerdict, RunEnd
+from samphirecleat.crashes import SETTLE_S, CrashedRun, CrashLedger, CrashVerdict
 from samphirecleat.crashes._ledger import (
     MAX_DECISIONS_PER_REVIEW,
     MAX_SUSPECTS,
@@ -22,12 +22,12 @@
 
 def record_ends(ledger: CrashLedger, digest: bytes, runs: Sequence[Run]) -> None:
     for target, begun_s, ended_s in runs:
-        ledger.note_end(digest, RunEnd(target, begun_s, ended_s, "n"), ended_s)
+        ledger.record_crash(digest, CrashedRun(target, begun_s, ended_s, "n"), ended_s)
 
 
 def settled_verdict(ledger: CrashLedger, digest: bytes, after_s: float = SETTLED_S) -> CrashVerdict:
     suspect = ledger.suspects.get(digest)
-    return ledger.verdict(digest, (suspect.last_end_s() if suspect else 0.0) + after_s)
+    return ledger.verdict(digest, (suspect.last_crash_s() if suspect else 0.0) + after_s)
 
 
 @pytest.mark.parametrize(
@@ -115,7 +115,7 @@
     record_ends(
         ledger, CALL, [(f"t{number}", number / 10.0, number / 10.0 + 0.05) for number in range(9)]
     )
-    assert ledger.recall_answer(CALL, 1.0)
+    assert ledger.apply_remembered_answer(CALL, 1.0)
     assert settled_verdict(ledger, CALL, SETTLE_S / 2.0) is CrashVerdict.HELD
     assert ledger.decide(0.85 + SETTLED_S) == []
     assert settled_verdict(ledger, CALL) is CrashVerdict.SUSPECT
@@ -136,7 +136,7 @@
         if ledger.verdict(CALL, at_s) in (CrashVerdict.CLEAR, CrashVerdict.SUSPECT):
             sent += 1
             record_ends(ledger, CALL, [(f"t{sent}", at_s, at_s + 0.05)])
-            ledger.recall_answer(CALL, at_s + 0.05)
+            ledger.apply_remembered_answer(CALL, at_s + 0.05)
         at_s += 0.06
     assert sent == 4
     assert ledger.verdict(CALL, at_s) is CrashVerdict.REFUSED
@@ -145,7 +145,9 @@
 def test_runs_seen_by_two_nodes_within_datagram_latency_count_as_concurrent() -> None:
     ledger = CrashLedger()
     for number, (target, begun_s) in enumerate((("a", 0.0), ("b", 0.11), ("c", 0.12))):
-        ledger.note_end(CALL, RunEnd(target, begun_s, 0.1 + number / 50.0, f"n{number}"), 0.2)
+        ledger.record_crash(
+            CALL, CrashedRun(target, begun_s, 0.1 + number / 50.0, f"n{number}"), 0.2
+        )
     assert settled_verdict(ledger, CALL) is CrashVerdict.SUSPECT
 
 
@@ -159,7 +161,7 @@
         record_ends(ledger, digest, SEQUENTIAL)
     assert settled_verdict(ledger, CALL) is CrashVerdict.SUSPECT
     assert settled_verdict(ledger, OTHER_CALL) is CrashVerdict.SUSPECT
-    assert ledger.note_answer(OTHER_CALL, 2.0)
+    assert ledger.record_answer(OTHER_CALL, 2.0)
     assert settled_verdict(ledger, OTHER_CALL) is CrashVerdict.CLEAR
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
 
@@ -176,8 +178,8 @@
     """A request of many callers is answered constantly, until a release makes it crash targets."""
     ledger = CrashLedger()
     record_ends(ledger, CALL, SEQUENTIAL[:2])
-    assert ledger.note_answer(CALL, 0.2)
-    assert not ledger.note_answer(CALL, 0.1)
+    assert ledger.record_answer(CALL, 0.2)
+    assert not ledger.record_answer(CALL, 0.1)
     record_ends(ledger, CALL, [("late news", 0.05, 0.15)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.CLEAR
     record_ends(ledger, CALL, [("x", 1.0, 1.1), ("y", 1.2, 1.3), ("z", 1.4, 1.5)])
@@ -190,21 +192,21 @@
     ledger = CrashLedger()
     record_ends(ledger, CALL, SEQUENTIAL)
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
-    assert ledger.note_answer(CALL, 3.0)
+    assert ledger.record_answer(CALL, 3.0)
     assert settled_verdict(ledger, CALL) is CrashVerdict.CLEAR
 
 
 def test_crash_reported_by_two_nodes_counts_once() -> None:
     ledger = CrashLedger()
-    end = RunEnd("a", 0.0, 0.1, "n")
-    assert ledger.note_end(CALL, end, 0.1)
-    assert not ledger.note_end(CALL, end._replace(node="m", ended_s=0.12), 0.3)
+    end = CrashedRun("a", 0.0, 0.1, "n")
+    assert ledger.record_crash(CALL, end, 0.1)
+    assert not ledger.record_crash(CALL, end._replace(node="m", ended_s=0.12), 0.3)
 
 
 def test_crashes_before_this_process_need_a_fresh_one() -> None:
     ledger = CrashLedger()
     for target, begun_s, ended_s in SEQUENTIAL:
-        ledger.note_end(CALL, RunEnd(target, begun_s, ended_s, "n"), 9.0, fresh=False)
+        ledger.record_crash(CALL, CrashedRun(target, begun_s, ended_s, "n"), 9.0, fresh=False)
     assert ledger.verdict(CALL, 9.0) is CrashVerdict.SUSPECT
     assert ledger.decide(9.0) == []
     record_ends(ledger, CALL, [("d", 9.0, 9.1)])
--- a/tests/crashes/test_news.py
+++ b/tests/crashes/test_news.py
@@ -1,7 +1,7 @@
 """Crash reports on heartbeats: they reach the other nodes within a small message size."""
 
 from samphirecleat.blackboard import Member
-from samphirecleat.crashes import CrashGossip, CrashLedger, CrashVerdict, RunEnd
+from samphirecleat.crashes import CrashedRun, CrashGossip, CrashLedger, CrashVerdict
 from samphirecleat.crashes._news import MAX_PENDING, ROWS_PER_MESSAGE
 from samphirecleat.peers import HeartbeatCodec, MemberRow, Message, MessageKind
 
@@ -18,7 +18,7 @@
         self.gossip = CrashGossip(self.ledger, lambda: node_count)
 
     def observe_crash(self, digest: bytes, target: str, begun_s: float, ended_s: float) -> None:
-        if self.ledger.note_end(digest, RunEnd(target, begun_s, ended_s, "n"), ended_s):
+        if self.ledger.record_crash(digest, CrashedRun(target, begun_s, ended_s, "n"), ended_s):
             self.gossip.announce(digest, target)
 
 
@@ -33,7 +33,7 @@
         node.observe_crash(CALL, f"t{number}", number * 1.0, number + 0.1)
         fourth.gossip.apply_updates(encode_and_decode(node.gossip.add_updates(EMPTY, 3.0)), 3.0)
     assert fourth.ledger.verdict(CALL, 9.0) is CrashVerdict.REFUSED
-    evidence = fourth.ledger.suspects[CALL].ends["t0"]
+    evidence = fourth.ledger.suspects[CALL].crashed_runs["t0"]
     assert (evidence.node, round(evidence.ended_s, 2)) == ("n", 0.1)
 
 
@@ -41,7 +41,7 @@
     one, other = Node(), Node()
     for node in (one, other):
         node.observe_crash(CALL, "t", 0.0, 0.1)
-    assert one.ledger.note_answer(CALL, 1.0)
+    assert one.ledger.record_answer(CALL, 1.0)
     one.gossip.announce(CALL)
     for _ in range(2):
         other.gossip.apply_updates(encode_and_decode(one.gossip.add_updates(EMPTY, 2.0)), 2.0)
--- a/tests/durable/test_runner.py
+++ b/tests/durable/test_runner.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from samphirecleat.crashes import MIN_ENDS_TO_REFUSE, CrashLedger
+from samphirecleat.crashes import MIN_CRASHES_TO_REFUSE, CrashLedger
 from samphirecleat.durable import GenerationFailure
 from samphirecleat.durable._crash_backoff import BARRED_BACKOFF_S
 
@@ -317,9 +317,9 @@
         await asyncio.sleep(2.5)
         rests = (loop.time() - began_s) / BARRED_BACKOFF_S
         assert (
-            MIN_ENDS_TO_REFUSE
+            MIN_CRASHES_TO_REFUSE
             <= len(stage.engines.engines_of("s1-0"))
-            <= MIN_ENDS_TO_REFUSE + 1 + rests
+            <= MIN_CRASHES_TO_REFUSE + 1 + rests
         )
         stage.engines.ends_on.clear()
         await stage.listed(4)
@@ -327,4 +327,4 @@
     ledger = CrashLedger()
     stage = play(["e1", "e2", "e3", "e4"], body, guard=make_guard(ledger))
     assert all(stage.results().values())
-    assert not any(suspect.ends for suspect in ledger.suspects.values())
+    assert not any(suspect.crashed_runs for suspect in ledger.suspects.values())
--- a/tests/serving/test_crash_watch.py
+++ b/tests/serving/test_crash_watch.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from samphirecleat.crashes import SETTLE_S, CrashLedger, RegistrationState, RunEnd
+from samphirecleat.crashes import SETTLE_S, CrashedRun, CrashLedger, RegistrationState
 from samphirecleat.errors import ErrorKind, Ran, RequestError
 from samphirecleat.serving import (
     Call,
@@ -84,8 +84,8 @@
     def suspect(self, raw_path: str, *targets: str) -> None:
         now_s = asyncio.get_running_loop().time()
         for target in targets:
-            end = RunEnd(target, now_s - 0.2, now_s - 0.1, "other")
-            self.ledger.note_end(call_digest(self.call(raw_path)), end, now_s)
+            end = CrashedRun(target, now_s - 0.2, now_s - 0.1, "other")
+            self.ledger.record_crash(call_digest(self.call(raw_path)), end, now_s)
 
 
 def run_with_fixture(body: Callable[[ForwarderFixture], Awaitable[None]]) -> None:
@@ -152,7 +152,7 @@
     async def body(fixture: ForwarderFixture) -> None:
         fixture.suspect("/x", "gone", "gone too")
         assert await fixture.forward("/x") == OK
-        assert not fixture.ledger.suspects[call_digest(fixture.call("/x"))].ends
+        assert not fixture.ledger.suspects[call_digest(fixture.call("/x"))].crashed_runs
 
     run_with_fixture(body)
 
