--- a/samphirecleat/bench/_blame.py
+++ b/samphirecleat/bench/_blame.py
@@ -209,8 +209,8 @@
         self._up[target] = True
 
     def _keep_house(self, now_s: float) -> None:
-        self._ledger.decide(now_s)
-        self._ledger.forget(now_s)
+        self._ledger.refuse_proven_calls(now_s)
+        self._ledger.remove_expired(now_s)
         self._at(now_s + KEEP_HOUSE_S, self._keep_house)
 
 
--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -10,7 +10,7 @@
 
 from ...blackboard import Blackboard, TargetView
 from ...config import Service, ServiceKind
-from ...crashes import CrashGuard, barred_error, is_barred
+from ...crashes import CrashGuard, blocked_error, is_blocked
 from ...errors import ErrorKind, Ran, RequestError
 from ...observe import Observer
 from ...requests import AnswerLine, AnswerLog, Call, WorkClass
@@ -179,8 +179,8 @@
         if guard is None or not guard.has_suspects:
             return
         standing = guard.verdict(call.request_id, mark_of(call))
-        if is_barred(standing):
-            raise _downgrade_not_run(barred_error(standing), attempts.may_have_run)
+        if is_blocked(standing):
+            raise _downgrade_not_run(blocked_error(standing), attempts.may_have_run)
 
     async def _report_lost_run(
         self, call: Call, target: TargetView, started_at_s: float, error: TargetError
--- a/samphirecleat/crashes/__init__.py
+++ b/samphirecleat/crashes/__init__.py
@@ -1,6 +1,6 @@
 """Detects calls that crash their targets, across all nodes, and bounds their retries."""
 
-from ._barred import barred_error, is_barred
+from ._barred import blocked_error, is_blocked
 from ._call_mark import request_digest
 from ._guard import (
     CrashGuard,
@@ -34,7 +34,7 @@
     "Suspect",
     "TargetStart",
     "NullEvidenceRecorder",
-    "barred_error",
+    "blocked_error",
     "request_digest",
-    "is_barred",
+    "is_blocked",
 ]
--- a/samphirecleat/crashes/_barred.py
+++ b/samphirecleat/crashes/_barred.py
@@ -9,12 +9,12 @@
 HELD_RETRY_S: Final = SETTLE_S
 
 
-def is_barred(verdict: CrashVerdict) -> bool:
+def is_blocked(verdict: CrashVerdict) -> bool:
     """Whether a request is blocked, temporarily or permanently."""
     return verdict in (CrashVerdict.HELD, CrashVerdict.REFUSED)
 
 
-def barred_error(verdict: CrashVerdict, attempts_summary: str = "") -> RequestError:
+def blocked_error(verdict: CrashVerdict, attempts_summary: str = "") -> RequestError:
     """Return the error for a blocked request; ``attempts_summary`` describes earlier attempts.
 
     A held request hasn't run under its ID, unless an earlier attempt may have.
--- a/samphirecleat/crashes/_guard.py
+++ b/samphirecleat/crashes/_guard.py
@@ -6,7 +6,7 @@
 from typing import Final, NamedTuple, Protocol
 
 from ..observe import Observer
-from ._barred import is_barred
+from ._barred import is_blocked
 from ._ledger import CrashLedger
 from ._news import NO_CALL, CrashGossip
 from ._suspect import CrashedRun, CrashVerdict
@@ -110,7 +110,7 @@
         """Return whether a call may be sent now; log and count it if it is blocked."""
         now_s = asyncio.get_running_loop().time()
         verdict = self._ledger.verdict(digest, now_s)
-        if is_barred(verdict):
+        if is_blocked(verdict):
             self._observer.counters[f"crash_calls_{verdict.value}"] += 1
             self._log.warning(
                 "request=%s call=%s %s evidence=%s",
@@ -123,10 +123,10 @@
                 self._recorder.record(digest, own=False)
         return verdict
 
-    def bars(self, digest: bytes) -> bool:
+    def is_blocked(self, digest: bytes) -> bool:
         """Whether a call is held or refused now; nothing is logged or counted."""
         now_s = asyncio.get_running_loop().time()
-        return is_barred(self._ledger.verdict(digest, now_s))
+        return is_blocked(self._ledger.verdict(digest, now_s))
 
     def record_answer(self, request_id: str, digest: bytes) -> None:
         """Record a target's answer to a call, which may be suspect."""
@@ -203,14 +203,14 @@
             for start, probe in self._probes.items()
             if now_s - probe[0] <= PROBE_REUSE_S
         }
-        for digest in self._ledger.decide(now_s):
+        for digest in self._ledger.refuse_proven_calls(now_s):
             self._observer.counters["crash_calls_barred"] += 1
             self._log.error(
                 "call=%s barred evidence=%s", digest.hex(), self.evidence(digest, now_s)
             )
             ends = self._ledger.suspects[digest].crashed_runs.values()
             self._recorder.record(digest, own=any(end.node == self._node_id for end in ends))
-        for digest in self._ledger.forget(now_s):
+        for digest in self._ledger.remove_expired(now_s):
             self._recorder.record(digest, own=False)
 
     def _announce_refused(self) -> None:
--- a/samphirecleat/crashes/_ledger.py
+++ b/samphirecleat/crashes/_ledger.py
@@ -147,7 +147,7 @@
         suspect = self.suspects.get(digest)
         return suspect is not None and not suspect.refused and may_crash_targets(suspect)
 
-    def decide(self, now_s: float) -> Sequence[bytes]:
+    def refuse_proven_calls(self, now_s: float) -> Sequence[bytes]:
         """Refuse each call whose evidence is complete and sufficient; return the refused calls.
 
         A call that stays undecided is evaluated again when it is sent or a new report arrives.
@@ -166,7 +166,7 @@
         suspect = self.suspects.get(digest)
         return suspect is None or not self._is_settling(suspect, now_s)
 
-    def forget(self, now_s: float) -> Sequence[bytes]:
+    def remove_expired(self, now_s: float) -> Sequence[bytes]:
         """Remove expired entries; return the calls that were removed."""
         expired = [
             digest for digest, suspect in self.suspects.items() if _is_expired(suspect, now_s)
--- a/samphirecleat/durable/_crash_backoff.py
+++ b/samphirecleat/durable/_crash_backoff.py
@@ -49,7 +49,7 @@
         if self._guard is None or known is None:
             return False
         mark, cut_s = known
-        return now_s - cut_s < BARRED_BACKOFF_S and self._guard.bars(mark)
+        return now_s - cut_s < BARRED_BACKOFF_S and self._guard.is_blocked(mark)
 
     def keep_only(self, wanted_steps: Collection[str]) -> None:
         """Drop the records of items of other steps."""
--- a/samphirecleat/durable/_orderer.py
+++ b/samphirecleat/durable/_orderer.py
@@ -167,7 +167,9 @@
         spec = self._routes.config.services.get(self._service)
         if spec is None or spec.engine is None:
             return
-        serving = {target.instance: target for target in self._targets.serving(self._service)}
+        serving = {
+            target.instance: target for target in self._targets.accepting_targets(self._service)
+        }
         for key in [key for key in self._states if key[0] not in serving]:
             del self._states[key]
             self._work.end_load(*key)
--- a/samphirecleat/durable/_run_pool.py
+++ b/samphirecleat/durable/_run_pool.py
@@ -91,8 +91,8 @@
 
     async def _run(self, run: ItemRun) -> None:
         loop = asyncio.get_running_loop()
-        self._work.targets.started(run.target)
-        self._work.targets.warm.taken(run.target)
+        self._work.targets.record_start(run.target)
+        self._work.targets.warm.record_taken(run.target)
         began_s = loop.time()
         try:
             await stream_item(run, self._engines, self._work.engine_stats.of(run.target.instance))
@@ -103,12 +103,12 @@
             self._logger.info("item=%s run cancelled", run.open_item.item.item_id)
             raise
         finally:
-            self._work.targets.ended(run.target)
+            self._work.targets.record_end(run.target)
             self._work.runs.pop(run.name, None)
             self._work.changed.set()
         if run.draft.complete:
             self._crash_backoff.record_completion(run)
-            self._work.targets.warm.returned(run.target, loop.time())
+            self._work.targets.warm.record_returned(run.target, loop.time())
         if run.draft.complete and not self._work.is_under_way(run.name):
             self._observer.record_s("item_run", loop.time() - began_s)
             self._logger.info(
--- a/samphirecleat/durable/_scorer.py
+++ b/samphirecleat/durable/_scorer.py
@@ -110,7 +110,7 @@
     def _semaphore(self, route: Route) -> asyncio.Semaphore:
         """Return the call limit of a route's service, sized by its current target slots."""
         service = route.services[0].service
-        slots = sum(target.slots for target in self._targets.serving(service))
+        slots = sum(target.slots for target in self._targets.accepting_targets(service))
         known = self._semaphores.get(service)
         if known is None or known[0] != slots:
             bound = asyncio.Semaphore(max(1, int(slots * REWARD_SLOT_SHARE)))
--- a/samphirecleat/durable/_server_orders.py
+++ b/samphirecleat/durable/_server_orders.py
@@ -145,7 +145,7 @@
         """Return the targets of each zone that has targets of the service or was ordered for."""
         ordinary: Counter[str] = Counter()
         spot: Counter[str] = Counter()
-        for target in self._targets.serving(self._work.service):
+        for target in self._targets.accepting_targets(self._work.service):
             (spot if target.spot else ordinary)[target.zone] += 1
         return [
             ZoneCapacity(
--- a/samphirecleat/durable/_service_view.py
+++ b/samphirecleat/durable/_service_view.py
@@ -47,7 +47,7 @@
     @property
     def max_slots(self) -> int:
         """The slots of the largest engine, at least 1."""
-        targets = self._targets.serving(self._service)
+        targets = self._targets.accepting_targets(self._service)
         return max([1, *(self.slots(target) for target in targets)])
 
     def models(self, target: Target) -> Sequence[str]:
--- a/samphirecleat/durable/_service_work.py
+++ b/samphirecleat/durable/_service_work.py
@@ -74,7 +74,7 @@
             planned[run.target.instance] += run.planned_tokens
         median_event_interval_s = self.engine_stats.median_event_interval_s()
         views = []
-        for target in self.targets.serving(self.service):
+        for target in self.targets.accepting_targets(self.service):
             stats = self.engine_stats.of(target.instance)
             versions = {
                 model: self.version_of(target, model)
--- a/samphirecleat/platform/_platform_node.py
+++ b/samphirecleat/platform/_platform_node.py
@@ -183,7 +183,7 @@
         )
         self._store.move(settings.store_address)
         self._api.set_address(settings.api_address)
-        self._authenticator.rebind(
+        self._authenticator.set_revocation(
             fails_closed=settings.keys_fail_closed, revocation_s=settings.key_revocation_s
         )
 
--- a/samphirecleat/serving/_crash_watch.py
+++ b/samphirecleat/serving/_crash_watch.py
@@ -28,5 +28,5 @@
 def sibling_targets(targets: TargetTable, start: TargetStart) -> Sequence[TargetStart]:
     """Return the other targets of the same service; none if the target isn't registered."""
     target = targets.targets.get(start.instance)
-    serving = targets.serving(target.service) if target is not None else ()
+    serving = targets.accepting_targets(target.service) if target is not None else ()
     return [target_start(other) for other in serving if other.instance != start.instance]
--- a/samphirecleat/serving/_forwarder.py
+++ b/samphirecleat/serving/_forwarder.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Sequence
 from typing import Final, NamedTuple
 
-from ..crashes import CrashGuard, CrashVerdict, barred_error, is_barred
+from ..crashes import CrashGuard, CrashVerdict, blocked_error, is_blocked
 from ..errors import ErrorKind, Ran, RequestError
 from ._attempt_log import AttemptLog
 from ._crash_watch import call_digest, target_start
@@ -128,12 +128,12 @@
         Calls that lose their target together select the next one together, before any of them is
         sent. If they weren't counted by then, all of them would select the same target.
         """
-        self._targets.started(target, suspect=suspect)
+        self._targets.record_start(target, suspect=suspect)
         reserved = [target]
 
         def release() -> None:
             if reserved:
-                self._targets.ended(reserved.pop(), suspect=suspect)
+                self._targets.record_end(reserved.pop(), suspect=suspect)
 
         return release
 
@@ -146,23 +146,23 @@
         """
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        self._targets.warm.taken(target)
+        self._targets.warm.record_taken(target)
         try:
             answer = await self._channel.exchange(call, target, end_s - started_s)
         except TargetFault as fault:
-            self._targets.failed(target, loop.time(), refused=fault.refused)
+            self._targets.record_failure(target, loop.time(), refused=fault.refused)
             await self.record_cut(call, target, started_s, fault)
             raise
         except asyncio.CancelledError:
             now_s = loop.time()
-            self._targets.abandoned(target, now_s - started_s, now_s)
+            self._targets.record_abandoned(target, now_s - started_s, now_s)
             raise
         finally:
             release()
         now_s = loop.time()
         self.record_answer(call)
-        self._targets.answered(target, now_s - started_s, now_s)
-        self._targets.warm.returned(target, now_s)
+        self._targets.record_answer(target, now_s - started_s, now_s)
+        self._targets.warm.record_returned(target, now_s)
         return answer
 
 
@@ -236,7 +236,7 @@
         if self._ran is not Ran.NO and not self._repeatable:
             return False
         self._verdict = self._forwarder.verdict(self._call)
-        if is_barred(self._verdict) or (attempts and self._verdict is not CrashVerdict.CLEAR):
+        if is_blocked(self._verdict) or (attempts and self._verdict is not CrashVerdict.CLEAR):
             return False
         target = self._forwarder.pick(self._services, self._tried, now_s)
         if target is None:
@@ -286,7 +286,7 @@
         """
         if self._failure_answer is not None:
             return self._failure_answer
-        if is_barred(self._verdict):
+        if is_blocked(self._verdict):
             raise barred_call_error(self._verdict, self._ran, self._attempt_log.summary(now_s))
         raise no_answer_error(self._ran, self._attempt_log.summary(now_s))
 
@@ -298,7 +298,7 @@
     """
     if verdict is CrashVerdict.HELD and ran is not Ran.NO:
         return no_answer_error(ran, detail)
-    return barred_error(verdict, detail)
+    return blocked_error(verdict, detail)
 
 
 def no_answer_error(ran: Ran, detail: str) -> RequestError:
--- a/samphirecleat/serving/_gatekeeper.py
+++ b/samphirecleat/serving/_gatekeeper.py
@@ -41,7 +41,7 @@
         self._fails_closed = fails_closed
         self._revocation_s = revocation_s
 
-    def rebind(self, *, fails_closed: bool, revocation_s: float) -> None:
+    def set_revocation(self, *, fails_closed: bool, revocation_s: float) -> None:
         """Replace the settings for key revocation."""
         self._fails_closed = fails_closed
         self._revocation_s = revocation_s
--- a/samphirecleat/serving/_stream_relay.py
+++ b/samphirecleat/serving/_stream_relay.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from typing import Final
 
-from ..crashes import CrashVerdict, is_barred
+from ..crashes import CrashVerdict, is_blocked
 from ..errors import ErrorKind, Ran, RequestError
 from ._attempt_log import AttemptLog
 from ._forwarder import (
@@ -197,7 +197,7 @@
         if self._ran is not Ran.NO and not self._repeatable:
             return False
         self._verdict = self._relay.forwarder.verdict(self._call)
-        if is_barred(self._verdict):
+        if is_blocked(self._verdict):
             return False
         target = self._relay.forwarder.pick(self._services, self._tried, loop.time())
         if target is None:
@@ -219,7 +219,7 @@
         self._record_outcome(fault.detail)
         if self._target is not None:
             now_s = asyncio.get_running_loop().time()
-            self._relay.targets.failed(self._target, now_s, refused=fault.refused)
+            self._relay.targets.record_failure(self._target, now_s, refused=fault.refused)
             await self._relay.forwarder.record_cut(
                 self._call, self._target, self._run_started_s, fault
             )
@@ -272,6 +272,6 @@
         """
         if self._failure_answer is not None:
             return self._failure_answer
-        if is_barred(self._verdict):
+        if is_blocked(self._verdict):
             raise barred_call_error(self._verdict, self._ran, self._attempt_summary())
         raise no_answer_error(self._ran, self._attempt_summary())
--- a/samphirecleat/serving/_target_table.py
+++ b/samphirecleat/serving/_target_table.py
@@ -73,26 +73,26 @@
         name = f"{self._node_id}/{target.instance}".encode()
         return hashlib.blake2b(name, digest_size=8).digest()
 
-    def serving(self, service: str) -> Sequence[Target]:
+    def accepting_targets(self, service: str) -> Sequence[Target]:
         """Return the targets of a service that accept new work."""
         return [t for t in self._by_service.get(service, ()) if not t.draining]
 
-    def started(self, target: Target, *, suspect: bool = False) -> None:
+    def record_start(self, target: Target, *, suspect: bool = False) -> None:
         """Count a call that is sent to a target; ``suspect`` if the call may crash it."""
         self.in_flight[target.instance] += 1
         self.suspect_runs[target.instance] += suspect
 
-    def ended(self, target: Target, *, suspect: bool = False) -> None:
-        """Count a call that has ended; ``suspect`` as passed to ``started``."""
+    def record_end(self, target: Target, *, suspect: bool = False) -> None:
+        """Count a call that has ended; ``suspect`` as passed to ``record_start``."""
         self.in_flight[target.instance] -= 1
         self.suspect_runs[target.instance] -= suspect
 
-    def answered(self, target: Target, duration_s: float, now_s: float) -> None:
+    def record_answer(self, target: Target, duration_s: float, now_s: float) -> None:
         """Record the duration of a complete answer."""
         self._note_duration(target, duration_s, now_s)
         self._backoff_until_s.pop(target.instance, None)
 
-    def abandoned(self, target: Target, waited_s: float, now_s: float) -> None:
+    def record_abandoned(self, target: Target, waited_s: float, now_s: float) -> None:
         """Record that a call was abandoned after ``waited_s`` without an answer.
 
         Calls to a slow target are cancelled when the hedged attempt answers first. If only answers
@@ -114,7 +114,7 @@
         mean_s += DURATION_EMA_WEIGHT * (duration_s - mean_s)
         self._durations[target.instance] = _CallDuration(mean_s, now_s)
 
-    def failed(self, target: Target, now_s: float, *, refused: bool) -> None:
+    def record_failure(self, target: Target, now_s: float, *, refused: bool) -> None:
         """Avoid a target for a while after a failure or a refusal."""
         backoff_s = REFUSAL_BACKOFF_S if refused else FAILURE_BACKOFF_S
         self._backoff_until_s[target.instance] = now_s + backoff_s
@@ -133,7 +133,7 @@
         another target is available: an innocent call isn't lost with the target, and two suspects
         that run on separate targets can be told apart.
         """
-        candidates = [target for service in services for target in self.serving(service)]
+        candidates = [target for service in services for target in self.accepting_targets(service)]
         if not candidates:
             return None
         means_s = self._means_s(candidates, now_s)
--- a/samphirecleat/serving/_warm_connections.py
+++ b/samphirecleat/serving/_warm_connections.py
@@ -27,13 +27,13 @@
         self.keep_alive_s: Callable[[str], float] = _default_keep_alive_s
         self._idle_since_s: dict[str, list[float]] = {}
 
-    def taken(self, target: Target) -> None:
+    def record_taken(self, target: Target) -> None:
         """Record that a call takes a connection, the most recently used one if any is idle."""
         idle = self._idle_since_s.get(target.instance)
         if idle:
             idle.pop()
 
-    def returned(self, target: Target, now_s: float) -> None:
+    def record_returned(self, target: Target, now_s: float) -> None:
         """Record that a call got a complete answer and its connection is kept open."""
         self._idle_since_s.setdefault(target.instance, []).append(now_s)
 
--- a/tests/crashes/test_ledger.py
+++ b/tests/crashes/test_ledger.py
@@ -58,9 +58,9 @@
     ledger = CrashLedger()
     record_ends(ledger, CALL, SEQUENTIAL)
     assert settled_verdict(ledger, CALL, SETTLE_S / 2.0) is CrashVerdict.HELD
-    assert ledger.decide(0.3 + SETTLE_S / 2.0) == []
-    assert ledger.decide(0.3 + SETTLED_S) == [CALL]
-    assert ledger.decide(0.3 + SETTLED_S) == []
+    assert ledger.refuse_proven_calls(0.3 + SETTLE_S / 2.0) == []
+    assert ledger.refuse_proven_calls(0.3 + SETTLED_S) == [CALL]
+    assert ledger.refuse_proven_calls(0.3 + SETTLED_S) == []
 
 
 def test_unrelated_crashes_require_a_further_crash() -> None:
@@ -117,7 +117,7 @@
     )
     assert ledger.apply_remembered_answer(CALL, 1.0)
     assert settled_verdict(ledger, CALL, SETTLE_S / 2.0) is CrashVerdict.HELD
-    assert ledger.decide(0.85 + SETTLED_S) == []
+    assert ledger.refuse_proven_calls(0.85 + SETTLED_S) == []
     assert settled_verdict(ledger, CALL) is CrashVerdict.SUSPECT
     record_ends(ledger, CALL, [("d", 5.0, 5.1)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
@@ -208,7 +208,7 @@
     for target, begun_s, ended_s in SEQUENTIAL:
         ledger.record_crash(CALL, CrashedRun(target, begun_s, ended_s, "n"), 9.0, fresh=False)
     assert ledger.verdict(CALL, 9.0) is CrashVerdict.SUSPECT
-    assert ledger.decide(9.0) == []
+    assert ledger.refuse_proven_calls(9.0) == []
     record_ends(ledger, CALL, [("d", 9.0, 9.1)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
 
@@ -230,8 +230,8 @@
     ledger = CrashLedger()
     record_ends(ledger, CALL, runs)
     settled_verdict(ledger, CALL)
-    assert ledger.forget(kept_s - 1.0) == []
-    assert ledger.forget(kept_s + 10.0) == [CALL]
+    assert ledger.remove_expired(kept_s - 1.0) == []
+    assert ledger.remove_expired(kept_s + 10.0) == [CALL]
     assert settled_verdict(ledger, CALL) is CrashVerdict.CLEAR
 
 
@@ -244,5 +244,5 @@
             ledger, b"%d" % number, [(f"{number}{t}", at_s + b, at_s + e) for t, b, e in SEQUENTIAL]
         )
     now_s = 3 * MAX_DECISIONS_PER_REVIEW * 10.0 + SETTLED_S
-    counts = [len(ledger.decide(now_s)) for _ in range(4)]
+    counts = [len(ledger.refuse_proven_calls(now_s)) for _ in range(4)]
     assert counts == [MAX_DECISIONS_PER_REVIEW] * 3 + [0]
--- a/tests/serving/test_tables.py
+++ b/tests/serving/test_tables.py
@@ -70,10 +70,10 @@
     near, far, gone = target("n"), target("ff", zone="y"), target("ddd", draining=True)
     targets.replace({t.instance: t for t in (near, far, gone)})
     assert targets.choose(["svc"], [], 0.0) == near
-    targets.started(near)
-    targets.started(near)
+    targets.record_start(near)
+    targets.record_start(near)
     assert targets.choose(["svc"], [], 0.0) == far
-    targets.failed(far, 0.0, refused=False)
+    targets.record_failure(far, 0.0, refused=False)
     assert targets.choose(["svc"], [], 0.5) == near
     assert targets.choose(["svc"], ["n"], 0.5) == far
     assert targets.choose(["svc"], [], 1.5) == far
@@ -84,8 +84,8 @@
     slow, quick = target("s"), target("q", zone="y")
     targets.replace({t.instance: t for t in (slow, quick)})
     for _ in range(5):
-        targets.answered(slow, 0.3, 0.0)
-        targets.answered(quick, 0.03, 0.0)
+        targets.record_answer(slow, 0.3, 0.0)
+        targets.record_answer(quick, 0.03, 0.0)
     assert targets.choose(["svc"], [], 0.0) == quick
 
 
@@ -106,10 +106,10 @@
     targets.replace({t.instance: t for t in (late, quick)})
     for _ in range(5):
         if known_s is not None:
-            targets.answered(late, known_s, 0.0)
-        targets.answered(quick, 0.03, 0.0)
+            targets.record_answer(late, known_s, 0.0)
+        targets.record_answer(quick, 0.03, 0.0)
     for _ in range(3):
-        targets.abandoned(late, waited_s, 1.0)
+        targets.record_abandoned(late, waited_s, 1.0)
     assert (targets.choose(["svc"], [], 1.0) == quick) is slow
 
 
@@ -121,10 +121,10 @@
     targets = TargetTable("z")
     slow, quick = target("s"), target("q", zone="y")
     targets.replace({t.instance: t for t in (slow, quick)})
-    targets.answered(slow, 0.3, 0.0)
-    targets.answered(quick, 0.03, 0.0)
+    targets.record_answer(slow, 0.3, 0.0)
+    targets.record_answer(quick, 0.03, 0.0)
     assert targets.choose(["svc"], [], 1.0) == quick
-    targets.answered(quick, 0.03, 60.0)
+    targets.record_answer(quick, 0.03, 60.0)
     assert targets.choose(["svc"], [], 60.0) == slow
 
 
@@ -176,9 +176,9 @@
         chosen = targets.choose(["svc"], [], float(second))
         assert chosen is not None
         used.append(chosen.instance)
-        targets.warm.taken(chosen)
-        targets.answered(chosen, 0.03, second + 0.03)
-        targets.warm.returned(chosen, second + 0.03)
+        targets.warm.record_taken(chosen)
+        targets.record_answer(chosen, 0.03, second + 0.03)
+        targets.warm.record_returned(chosen, second + 0.03)
     assert len(set(used)) == 1
 
 
@@ -186,11 +186,11 @@
     targets = TargetTable("z")
     warm, cold = target("w"), target("cc")
     targets.replace({t.instance: t for t in (warm, cold)})
-    targets.warm.returned(warm, 0.0)
-    targets.warm.returned(warm, 0.0)
+    targets.warm.record_returned(warm, 0.0)
+    targets.warm.record_returned(warm, 0.0)
     assert targets.choose(["svc"], [], 1.0) == warm
     for _ in range(2):
-        targets.started(warm)
+        targets.record_start(warm)
     assert targets.choose(["svc"], [], 1.0) == cold
 
 
@@ -199,7 +199,7 @@
     far = target("f", zone="y")
     targets.replace({t.instance: t for t in (far, target("nn"))})
     targets.warm.keep_alive_s = lambda _service: 5.0
-    targets.warm.returned(far, 0.0)
+    targets.warm.record_returned(far, 0.0)
     assert targets.choose(["svc"], [], 4.0) == far
     assert targets.choose(["svc"], [], 6.0) != far
 
