--- a/samphirecleat/crashes/_barred.py
+++ b/samphirecleat/crashes/_barred.py
@@ -10,14 +10,15 @@
 
 
 def is_blocked(verdict: CrashVerdict) -> bool:
-    """Whether a request is blocked, temporarily or permanently."""
+    """Whether a request is blocked: held for now, or refused."""
     return verdict in (CrashVerdict.HELD, CrashVerdict.REFUSED)
 
 
 def blocked_error(verdict: CrashVerdict, attempts_summary: str = "") -> RequestError:
     """Return the error for a blocked request; ``attempts_summary`` describes earlier attempts.
 
-    A held request hasn't run under its ID, unless an earlier attempt may have.
+    The error for a held request says that it hasn't run. Don't return it if an earlier attempt may
+    have run the request.
     """
     if verdict is CrashVerdict.REFUSED:
         suffix = f": {attempts_summary}" if attempts_summary else ""
--- a/samphirecleat/crashes/_guard.py
+++ b/samphirecleat/crashes/_guard.py
@@ -1,4 +1,4 @@
-"""Checks whether a target that cut a connection crashed, and blocks calls that crash targets."""
+"""Determines whether a target that cut a connection crashed; blocks calls that crash targets."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Collection, Sequence
@@ -11,13 +11,13 @@
 from ._news import NO_CALL, CrashGossip
 from ._suspect import CrashedRun, CrashVerdict
 
-# A target that still listens right after it cut a call may have restarted at once. Its registration
-# shows this within three of its heartbeats plus the latency to this node.
+# A target that still listens right after it cut a connection may have crashed and restarted at
+# once. Its registration shows this within three of its heartbeats plus the latency to this node.
 UNCONFIRMED_CUT_TTL_S: Final = 6.0
 MAX_UNCONFIRMED_CUTS: Final = 1024
 # Number of other targets of the service that are probed before a call is blamed.
 MAX_PROBED_TARGETS: Final = 3
-# A probe of a target serves all calls that the target cut within this time.
+# Calls whose connections a target cut within this time share one probe of the target.
 PROBE_REUSE_S: Final = 0.25
 
 
@@ -46,7 +46,10 @@
     """Persists the evidence on a call."""
 
     def record(self, digest: bytes, *, own: bool) -> None:
-        """Schedule a write; a node whose ``own`` evidence it is writes before the others."""
+        """Schedule a write of the evidence on a call.
+
+        ``own`` says that this node observed it; such a node writes before the others.
+        """
         ...
 
 
@@ -78,26 +81,26 @@
         ledger: CrashLedger,
         gossip: CrashGossip,
         listens: Callable[[str], Awaitable[bool]],
-        registered: Callable[[TargetStart], RegistrationState],
-        others: Callable[[TargetStart], Sequence[TargetStart]],
+        registration_state: Callable[[TargetStart], RegistrationState],
+        siblings: Callable[[TargetStart], Sequence[TargetStart]],
         recorder: EvidenceRecorder,
         observer: Observer,
     ) -> None:
         """Take the node's view of its targets.
 
-        ``listens`` tells whether anything accepts connections at an address. ``registered`` returns
-        the registration state of a target, and ``others`` the other targets of its service.
+        ``listens`` tells whether anything accepts connections at an address. ``registration_state``
+        returns the state of a target's start, and ``siblings`` the other targets of its service.
         """
         self._node_id = node_id
         self._ledger = ledger
         self._gossip = gossip
         self._listens = listens
-        self._registered = registered
-        self._others = others
+        self._registration_state = registration_state
+        self._siblings = siblings
         self._observer = observer
         self._log = observer.log("crashes")
         self._unconfirmed_cuts: list[_Cut] = []
-        self._known_nodes: frozenset[str] = frozenset()
+        self._known_incarnations: frozenset[str] = frozenset()
         self._probes: dict[TargetStart, tuple[float, asyncio.Task[bool]]] = {}
         self._recorder = recorder
 
@@ -135,10 +138,10 @@
         suspect = self._ledger.suspects.get(digest)
         if suspect is None or not suspect.crashed_runs:
             return
-        ends = len(suspect.crashed_runs)
+        crash_count = len(suspect.crashed_runs)
         if self._ledger.record_answer(digest, now_s):
             self._log.info(
-                "request=%s call=%s answered cleared_ends=%d", request_id, digest.hex(), ends
+                "request=%s call=%s answered cleared_ends=%d", request_id, digest.hex(), crash_count
             )
             self._gossip.announce(digest)
             self._recorder.record(digest, own=True)
@@ -148,12 +151,13 @@
     ) -> None:
         """Record a run whose connection the target closed before the answer was complete.
 
-        Return once it is known whether the target crashed, or whether it may have.
+        Return once it is known that the target crashed or didn't crash, or that only a later
+        ``review`` can tell.
         """
         cut_s = asyncio.get_running_loop().time()
-        registered = self._registered(start)
-        listens = registered is RegistrationState.READY and await self._probe(start, cut_s)
-        counts = registered is RegistrationState.READY and not listens
+        state = self._registration_state(start)
+        listens = state is RegistrationState.READY and await self._probe(start, cut_s)
+        counts = state is RegistrationState.READY and not listens
         self._log.warning(
             "request=%s call=%s target=%s cut after=%.3f s registered=%s listens=%s counts=%s "
             "detail=%s",
@@ -161,33 +165,33 @@
             digest.hex(),
             start.name,
             cut_s - begun_s,
-            registered.value,
+            state.value,
             listens,
             counts,
             detail,
         )
         cut = _Cut(digest, start, begun_s, cut_s)
         if counts:
-            self._count_end(cut)
+            self._record_crash(cut)
             if self._ledger.awaits_verdict(digest):
-                await self._probe_others(digest, start)
+                await self._probe_siblings(digest, start)
         elif listens:
             self._unconfirmed_cuts.append(cut)
             del self._unconfirmed_cuts[:-MAX_UNCONFIRMED_CUTS]
 
-    def review(self, live_nodes: Collection[str]) -> None:
+    def review(self, live_incarnations: Collection[str]) -> None:
         """Resolve unconfirmed cuts, refuse calls with sufficient evidence, and drop old entries.
 
-        ``live_nodes`` are incarnations. If one of them is new, all refused calls are announced
-        again, since it has missed the earlier reports.
+        If one of ``live_incarnations`` is new, all refused calls are announced again, since that
+        node has missed the earlier reports.
         """
         now_s = asyncio.get_running_loop().time()
-        if not self._known_nodes.issuperset(live_nodes):
+        if not self._known_incarnations.issuperset(live_incarnations):
             self._announce_refused()
-        self._known_nodes = frozenset(live_nodes)
+        self._known_incarnations = frozenset(live_incarnations)
         unconfirmed_cuts, self._unconfirmed_cuts = self._unconfirmed_cuts, []
         for cut in unconfirmed_cuts:
-            match self._registered(cut.start):
+            match self._registration_state(cut.start):
                 case RegistrationState.GONE:
                     self._log.info(
                         "call=%s target=%s ended: registration removed after=%.3f s",
@@ -195,7 +199,7 @@
                         cut.start.name,
                         now_s - cut.cut_s,
                     )
-                    self._count_end(cut)
+                    self._record_crash(cut)
                 case RegistrationState.READY if now_s - cut.cut_s <= UNCONFIRMED_CUT_TTL_S:
                     self._unconfirmed_cuts.append(cut)
         self._probes = {
@@ -204,12 +208,13 @@
             if now_s - probe[0] <= PROBE_REUSE_S
         }
         for digest in self._ledger.refuse_proven_calls(now_s):
+            # "barred", in the counter and the log, means that a call is now refused.
             self._observer.counters["crash_calls_barred"] += 1
             self._log.error(
                 "call=%s barred evidence=%s", digest.hex(), self.evidence(digest, now_s)
             )
-            ends = self._ledger.suspects[digest].crashed_runs.values()
-            self._recorder.record(digest, own=any(end.node == self._node_id for end in ends))
+            runs = self._ledger.suspects[digest].crashed_runs.values()
+            self._recorder.record(digest, own=any(run.node == self._node_id for run in runs))
         for digest in self._ledger.remove_expired(now_s):
             self._recorder.record(digest, own=False)
 
@@ -224,23 +229,23 @@
         suspect = self._ledger.suspects.get(digest)
         if suspect is None:
             return "none"
-        ends = sorted(suspect.crashed_runs.values(), key=lambda end: end.ended_s)
-        return ",".join(f"{end.target}/{end.node}/{now_s - end.ended_s:.1f}s" for end in ends)
+        runs = sorted(suspect.crashed_runs.values(), key=lambda run: run.ended_s)
+        return ",".join(f"{run.target}/{run.node}/{now_s - run.ended_s:.1f}s" for run in runs)
 
-    def _count_end(self, cut: _Cut) -> None:
+    def _record_crash(self, cut: _Cut) -> None:
         now_s = asyncio.get_running_loop().time()
         name = cut.start.name
-        end = CrashedRun(name, cut.begun_s, cut.cut_s, self._node_id)
-        if not self._ledger.record_crash(cut.digest, end, now_s):
+        run = CrashedRun(name, cut.begun_s, cut.cut_s, self._node_id)
+        if not self._ledger.record_crash(cut.digest, run, now_s):
             return
         self._observer.counters["crash_ends_seen"] += 1
         self._gossip.announce_crash(cut.digest, name, now_s)
         self._recorder.record(cut.digest, own=True)
 
-    async def _probe_others(self, digest: bytes, start: TargetStart) -> None:
-        """Check whether targets crashed that didn't run the call, as when a whole zone fails."""
+    async def _probe_siblings(self, digest: bytes, start: TargetStart) -> None:
+        """Look for crashed targets that didn't run the call, as when a whole zone fails."""
         ended = self._ledger.crashed_targets
-        sample = [other for other in self._others(start) if other.name not in ended]
+        sample = [other for other in self._siblings(start) if other.name not in ended]
         sample = sample[:MAX_PROBED_TARGETS]
         now_s = asyncio.get_running_loop().time()
         listening = await asyncio.gather(*(self._probe(other, now_s) for other in sample))
@@ -256,9 +261,9 @@
         )
 
     async def _probe(self, start: TargetStart, now_s: float) -> bool:
-        """Whether the target still listens; calls that were cut together share one probe."""
-        known = self._probes.get(start)
-        if known is None or now_s - known[0] > PROBE_REUSE_S:
-            known = (now_s, asyncio.ensure_future(self._listens(start.address)))
-            self._probes[start] = known
-        return await asyncio.shield(known[1])
+        """Return whether the target still listens, reusing a recent probe."""
+        probe = self._probes.get(start)
+        if probe is None or now_s - probe[0] > PROBE_REUSE_S:
+            probe = (now_s, asyncio.ensure_future(self._listens(start.address)))
+            self._probes[start] = probe
+        return await asyncio.shield(probe[1])
--- a/samphirecleat/crashes/_ledger.py
+++ b/samphirecleat/crashes/_ledger.py
@@ -1,9 +1,9 @@
 """Determines which calls crash the targets that run them, from the reports of all nodes.
 
-A request that crashes each target that begins to run it is resent with a new ID, at any node. With
-an attempt limit per call only, it crashes three targets each time. A crashing target takes all its
-calls down, so most calls under which a target crashed are innocent; what happens to a call
-afterwards tells them apart.
+The caller of a request that crashes every target resends it with a new ID, to any node. A limit on
+the attempts per call doesn't stop it: each resend crashes up to three more targets. A crashing
+target ends all calls that it runs, so most calls under which a target crashed are innocent. They
+are recognized by their later runs, which are answered or crash no further target.
 
 Pure: performs no I/O and uses neither clock nor randomness.
 """
@@ -21,7 +21,7 @@
     may_crash_targets,
 )
 
-# Targets that crash within this time of each other may have a common cause.
+# Crashes of targets within this time of each other may have a common cause.
 COMMON_CAUSE_WINDOW_S: Final = 0.5
 # A call that isn't refused is forgotten this long after its latest crash.
 SUSPECT_TTL_S: Final = 600.0
@@ -30,13 +30,13 @@
 # Time for which an answer to a call is remembered.
 ANSWER_TTL_S: Final = 60.0
 MAX_ANSWERS: Final = 4096
-ENDED_TARGET_TTL_S: Final = 60.0
+CRASHED_TARGET_TTL_S: Final = 60.0
 # Limits the decisions per review, so that many suspects don't block the event loop.
 MAX_DECISIONS_PER_REVIEW: Final = 32
 MAX_SUSPECTS: Final = 2048
 # Suspects are evicted in batches, since ranking them requires a scan of all.
 EVICTION_BATCH: Final = 128
-MAX_ENDS_PER_CALL: Final = 16
+MAX_CRASHES_PER_CALL: Final = 16
 
 
 class CrashLedger:
@@ -50,19 +50,20 @@
         self._undecided: set[bytes] = set()
 
     def record_crash(
-        self, digest: bytes, end: CrashedRun, now_s: float, *, fresh: bool = True
+        self, digest: bytes, run: CrashedRun, now_s: float, *, fresh: bool = True
     ) -> bool:
-        """Record a run that ended with its target; return False if it is known or irrelevant.
+        """Record a run whose target crashed; return False if it is known or irrelevant.
 
-        An end that isn't ``fresh`` happened before this process started and proves nothing alone.
+        A crash that isn't ``fresh`` happened before this process started. A call isn't refused on
+        such crashes alone.
         """
-        self.record_crashed_target(end.target, end.ended_s, now_s)
+        self.record_crashed_target(run.target, run.ended_s, now_s)
         suspect = self._get_or_add(digest)
-        if end.target in suspect.crashed_runs or end.begun_s <= suspect.answered_s:
+        if run.target in suspect.crashed_runs or run.begun_s <= suspect.answered_s:
             return False
-        if len(suspect.crashed_runs) >= MAX_ENDS_PER_CALL:
+        if len(suspect.crashed_runs) >= MAX_CRASHES_PER_CALL:
             return False
-        suspect.crashed_runs[end.target] = end
+        suspect.crashed_runs[run.target] = run
         suspect.seen_at_s = max(suspect.seen_at_s, now_s)
         suspect.fresh = suspect.fresh or fresh
         if may_crash_targets(suspect):
@@ -71,7 +72,7 @@
 
     def record_crashed_target(self, target: str, at_s: float, now_s: float) -> bool:
         """Record a crashed target, whatever it ran; return False if it is known or too old."""
-        if now_s - at_s > ENDED_TARGET_TTL_S or target in self.crashed_targets:
+        if now_s - at_s > CRASHED_TARGET_TTL_S or target in self.crashed_targets:
             return False
         self.crashed_targets[target] = at_s
         if len(self.crashed_targets) > MAX_SUSPECTS:
@@ -97,9 +98,9 @@
         return True
 
     def record_answer(self, digest: bytes, answered_s: float) -> bool:
-        """Record that a target answered a call: earlier crashes under it have another cause.
+        """Record that a target answered a call, so that earlier crashes had another cause.
 
-        Return False if that clears nothing. The answer is kept for a while, since reports of
+        Return False if there was nothing to clear. The answer is kept for a while, since reports of
         earlier crashes may still arrive.
         """
         suspect = self._get_or_add(digest)
@@ -108,7 +109,7 @@
         suspect.answered_s = answered_s
         before = len(suspect.crashed_runs)
         suspect.crashed_runs = {
-            t: end for t, end in suspect.crashed_runs.items() if end.begun_s > answered_s
+            t: run for t, run in suspect.crashed_runs.items() if run.begun_s > answered_s
         }
         cleared = len(suspect.crashed_runs) < before or suspect.refused
         if not suspect.crashed_runs:
@@ -175,7 +176,7 @@
             del self.suspects[digest]
         while self.crashed_targets:
             target, at_s = next(iter(self.crashed_targets.items()))
-            if now_s - at_s <= ENDED_TARGET_TTL_S:
+            if now_s - at_s <= CRASHED_TARGET_TTL_S:
                 break
             del self.crashed_targets[target]
         return expired
@@ -187,9 +188,12 @@
         suspect.refused = crashes_targets(suspect, self.suspects.values(), self._is_isolated)
         return suspect.refused
 
-    def _is_isolated(self, suspect: Suspect, ends: Sequence[CrashedRun]) -> bool:
-        """Whether no target crashed without the call at about the times of some of its crashes."""
-        times_s = [end.ended_s for end in ends]
+    def _is_isolated(self, suspect: Suspect, runs: Sequence[CrashedRun]) -> bool:
+        """Whether no target that didn't run the call crashed at about the time of any of ``runs``.
+
+        ``runs`` are crashed runs of the call.
+        """
+        times_s = [run.ended_s for run in runs]
         return not any(
             target not in suspect.crashed_runs
             and any(abs(at_s - s) <= COMMON_CAUSE_WINDOW_S for s in times_s)
--- a/samphirecleat/crashes/_news.py
+++ b/samphirecleat/crashes/_news.py
@@ -1,7 +1,7 @@
 """Spreads reports of crashes among the nodes, on the datagrams of the heartbeats.
 
-Each node sends a report that is new to it a bounded number of times, and a datagram carries only a
-few reports: under load, reports are delayed but datagrams stay small.
+Each node passes a report that is new to it on a bounded number of times. A datagram carries only a
+few reports, so many crashes at once delay the reports but don't enlarge the datagrams.
 
 Pure: performs no I/O and uses no clock.
 """
@@ -24,7 +24,7 @@
 
 
 class CrashGossip:
-    """Outgoing and incoming reports; a rider of the membership datagrams."""
+    """Adds reports to outgoing membership datagrams and applies those of incoming ones."""
 
     def __init__(self, ledger: CrashLedger, node_count: Callable[[], int]) -> None:
         """Send reports from ``ledger`` and add received ones to it."""
@@ -34,7 +34,7 @@
 
     def announce(self, digest: bytes, target: str = ANSWERED) -> None:
         """Queue a report of a crashed run or of an answer for the next datagrams."""
-        # If each node sends a report c times to random nodes, it misses a fraction exp(-c) of them.
+        # If each node sends a report c times to random nodes, a fraction exp(-c) never receives it.
         self._pending[digest, target] = 4 + math.ceil(math.log2(self._node_count() + 2) / 2)
         while len(self._pending) > MAX_PENDING:
             self._pending.popitem(last=False)
@@ -72,8 +72,8 @@
                     self.announce(row.digest)
                 continue
             begun_s = now_s - row.begun_age_ms / 1000.0
-            end = CrashedRun(row.target, begun_s, ended_s, row.node)
-            if self._ledger.record_crash(row.digest, end, now_s):
+            run = CrashedRun(row.target, begun_s, ended_s, row.node)
+            if self._ledger.record_crash(row.digest, run, now_s):
                 self.announce_crash(row.digest, row.target, now_s)
 
     def _next_reports(self) -> list[tuple[bytes, str]]:
@@ -82,9 +82,11 @@
 
         def rank(key: tuple[bytes, str]) -> tuple[int, int]:
             suspect = suspects.get(key[0])
-            # Reports that clear calls precede those against all but the worst suspects.
-            ends = len(suspect.crashed_runs) if suspect is not None else MIN_CRASHES_TO_REFUSE - 1
-            return (-ends, -self._pending[key])
+            # A report without a known call follows only those on calls that may be refused.
+            crash_count = (
+                len(suspect.crashed_runs) if suspect is not None else MIN_CRASHES_TO_REFUSE - 1
+            )
+            return (-crash_count, -self._pending[key])
 
         return sorted(self._pending, key=rank)[:ROWS_PER_MESSAGE]
 
@@ -102,11 +104,11 @@
         if target == ANSWERED:
             age_ms = _age_ms(suspect.answered_s, now_s)
             return CrashRow(digest, ANSWERED, "", age_ms, age_ms)
-        end = suspect.crashed_runs.get(target)
-        if end is None:
+        run = suspect.crashed_runs.get(target)
+        if run is None:
             return None
-        begun_ms, ended_ms = _age_ms(end.begun_s, now_s), _age_ms(end.ended_s, now_s)
-        return CrashRow(digest, target, end.node, begun_ms, ended_ms)
+        begun_ms, ended_ms = _age_ms(run.begun_s, now_s), _age_ms(run.ended_s, now_s)
+        return CrashRow(digest, target, run.node, begun_ms, ended_ms)
 
 
 def _age_ms(at_s: float, now_s: float) -> int:
--- a/samphirecleat/crashes/_suspect.py
+++ b/samphirecleat/crashes/_suspect.py
@@ -6,17 +6,17 @@
 from enum import Enum
 from typing import Final, NamedTuple
 
-# Crashes that are needed before a call can be refused; sends after these count as retries.
+# Crashes that are needed before a call can be refused; each send after them counts as a retry.
 MIN_CRASHES_TO_REFUSE: Final = 3
-# This many crashes, including this many after the first burst, refuse a call regardless of other
-# crashes. At that point two of the three allowed retries are used, and the third may be in progress
-# at another node.
+# A call with MAX_CRASHES crashes, of which MAX_LATER_CRASHES came after the first burst, is refused
+# even if the crashes may have another cause. At that point two of the three allowed retries are
+# used, and the third may be in progress at another node.
 MAX_CRASHES: Final = 5
-MAX_LATER_ENDS: Final = 2
+MAX_LATER_CRASHES: Final = 2
 # Maximum difference between two nodes' times of one event: the latency of a datagram.
 CLOCK_SLACK_S: Final = 0.03
 # Time within which other nodes' reports of an event arrive. A run that began at least this long
-# after the last crash belongs to a new burst: the earlier cause of crashes has passed.
+# after the last crash belongs to a new burst: any other cause of the earlier crashes has passed.
 SETTLE_S: Final = 1.0
 
 
@@ -49,8 +49,10 @@
 class Suspect:
     """A call under which targets crashed since its last answer.
 
-    ``answered_s`` is the time of its latest known answer. ``fresh`` is set once a crash was
-    reported that didn't happen before this process started.
+    ``crashed_runs`` are keyed by the start of their target. ``answered_s`` is the time of the
+    call's latest known answer. ``fresh`` is set once a crash is reported that happened after this
+    process started. ``seen_at_s`` is the time of the latest report, or of the latest attempt to
+    send the call once it is refused.
     """
 
     crashed_runs: dict[str, CrashedRun] = field(default_factory=dict)
@@ -61,19 +63,20 @@
 
     def last_crash_s(self) -> float:
         """Return the time of the latest known crash, -inf if there is none."""
-        return max((end.ended_s for end in self.crashed_runs.values()), default=-math.inf)
+        return max((run.ended_s for run in self.crashed_runs.values()), default=-math.inf)
 
 
 def may_crash_targets(suspect: Suspect) -> bool:
     """Whether the crashes under a call follow the pattern of a call that crashes its targets.
 
-    If targets crash together for another reason, several of them run a popular call at that time.
-    Only a call that crashes its targets also crashes the next target that it is retried on.
+    If targets crash together for another reason, several of them may be running the same popular
+    call. A call that crashes its targets also crashes the next one on which it is retried, so its
+    crashes follow one another.
     """
     return (
         suspect.fresh
         and len(suspect.crashed_runs) >= MIN_CRASHES_TO_REFUSE
-        and _count_sequential_ends(suspect.crashed_runs) > 1
+        and _count_sequential_crashes(suspect.crashed_runs) > 1
     )
 
 
@@ -84,40 +87,40 @@
 ) -> bool:
     """Whether a call is the only plausible cause of the crashes under it.
 
-    A call that was answered shortly before must crash a target again in a later burst: a popular
-    call is always running somewhere, including on targets that crash one after another for another
-    reason. ``is_isolated`` tells whether no target crashed without this call at about the times of
-    the given crashes. A call among ``others`` that ran at each of these crashes may equally be the
-    cause.
+    A call that was answered shortly before is refused only after crashes in a second burst: a
+    popular call is always running somewhere, also on targets that crash one after another for
+    another reason. ``is_isolated`` tells whether no target that didn't run the call crashed at
+    about the times of the given runs. A call among ``others`` that ran at each crash of the latest
+    burst may equally be the cause.
     """
     if not may_crash_targets(suspect):
         return False
     bursts = _bursts(suspect.crashed_runs)
-    later_ends = len(suspect.crashed_runs) - len(bursts[0])
-    if later_ends >= MAX_LATER_ENDS and len(suspect.crashed_runs) >= MAX_CRASHES:
+    later_crashes = len(suspect.crashed_runs) - len(bursts[0])
+    if later_crashes >= MAX_LATER_CRASHES and len(suspect.crashed_runs) >= MAX_CRASHES:
         return True
     if len(bursts) == 1 and suspect.answered_s > -math.inf:
         return False
     latest_burst = bursts[-1]
-    target_starts = {end.target for end in latest_burst}
+    target_starts = {run.target for run in latest_burst}
     has_other_cause = any(
         other is not suspect and target_starts <= other.crashed_runs.keys() for other in others
     )
     return not has_other_cause and is_isolated(suspect, latest_burst)
 
 
-def _by_time(ends: dict[str, CrashedRun]) -> Sequence[CrashedRun]:
-    return sorted(ends.values(), key=lambda end: end.ended_s)
+def _by_time(runs: dict[str, CrashedRun]) -> Sequence[CrashedRun]:
+    return sorted(runs.values(), key=lambda run: run.ended_s)
 
 
-def _count_sequential_ends(ends: dict[str, CrashedRun]) -> int:
+def _count_sequential_crashes(runs: dict[str, CrashedRun]) -> int:
     """Return the number of sequential crashes; crashes of concurrent runs count once."""
     count = 0
     last: CrashedRun | None = None
-    for end in _by_time(ends):
-        if last is None or end.begun_s >= last.ended_s + _slack_s({end.node, last.node}):
+    for run in _by_time(runs):
+        if last is None or run.begun_s >= last.ended_s + _slack_s({run.node, last.node}):
             count += 1
-            last = end
+            last = run
     return count
 
 
@@ -125,12 +128,12 @@
     return CLOCK_SLACK_S if len(nodes) > 1 else 0.0
 
 
-def _bursts(ends: dict[str, CrashedRun]) -> Sequence[Sequence[CrashedRun]]:
-    """Group the crashes; a group begins with a run that started after the last one had settled."""
+def _bursts(runs: dict[str, CrashedRun]) -> Sequence[Sequence[CrashedRun]]:
+    """Group the crashes into bursts, each beginning at least SETTLE_S after the last crash."""
     groups: list[list[CrashedRun]] = []
-    for end in _by_time(ends):
-        if groups and end.begun_s < groups[-1][-1].ended_s + SETTLE_S:
-            groups[-1].append(end)
+    for run in _by_time(runs):
+        if groups and run.begun_s < groups[-1][-1].ended_s + SETTLE_S:
+            groups[-1].append(run)
         else:
-            groups.append([end])
+            groups.append([run])
     return groups
--- a/tests/crashes/guards.py
+++ b/tests/crashes/guards.py
@@ -24,7 +24,7 @@
     return RegistrationState.READY
 
 
-def no_others(_start: TargetStart) -> Sequence[TargetStart]:
+def no_siblings(_start: TargetStart) -> Sequence[TargetStart]:
     """Report that a target is the only one of its service."""
     return ()
 
@@ -32,8 +32,8 @@
 def make_guard(
     ledger: CrashLedger,
     listens: Callable[[str], Awaitable[bool]] = nothing_listens,
-    registered: Callable[[TargetStart], RegistrationState] = always_ready,
-    others: Callable[[TargetStart], Sequence[TargetStart]] = no_others,
+    registration_state: Callable[[TargetStart], RegistrationState] = always_ready,
+    siblings: Callable[[TargetStart], Sequence[TargetStart]] = no_siblings,
     *,
     gossip: CrashGossip | None = None,
     recorder: EvidenceRecorder | None = None,
@@ -44,8 +44,8 @@
         ledger,
         gossip or CrashGossip(ledger, lambda: 1),
         listens,
-        registered,
-        others,
+        registration_state,
+        siblings,
         recorder or NullEvidenceRecorder(),
         Observer("n1"),
     )
--- a/tests/crashes/test_call_mark.py
+++ b/tests/crashes/test_call_mark.py
@@ -19,7 +19,7 @@
         ("POST", "h.example", "/plain/1?x=1", "w", b""),
         ("POST", "h.example", "/plain/1?x=1w", "", b"body"),
     ],
-    ids=["method", "host", "query", "no query", "caller", "nobody", "empty body", "shifted"],
+    ids=["method", "host", "query", "no query", "caller", "no caller", "empty body", "shifted"],
 )
 def test_different_requests_have_different_digests(
     other: tuple[str, str, str, str, bytes],
--- a/tests/crashes/test_guard.py
+++ b/tests/crashes/test_guard.py
@@ -38,7 +38,7 @@
         self.listening: set[str] = set()
         self.registered: dict[str, RegistrationState] = {}
         self.probed: list[str] = []
-        self.others: list[TargetStart] = []
+        self.siblings: list[TargetStart] = []
         self.ledger = CrashLedger()
         self.recorder = FakeRecorder()
         self.gossip = CrashGossip(self.ledger, lambda: 3)
@@ -46,7 +46,7 @@
             self.ledger,
             self._listens,
             lambda start: self.registered.get(start.instance, RegistrationState.READY),
-            lambda start: [o for o in self.others if o != start],
+            lambda start: [o for o in self.siblings if o != start],
             gossip=self.gossip,
             recorder=self.recorder,
         )
@@ -82,12 +82,15 @@
         (False, RegistrationState.DRAINING, set()),
         (False, RegistrationState.GONE, set()),
     ],
-    ids=["crashed", "only the connection", "left as it said", "left without a word"],
+    ids=["crashed", "still listening", "draining", "not registered"],
 )
 def test_cut_counts_only_if_target_crashed(
     listens: bool, registered: RegistrationState, ends: set[str]
 ) -> None:
-    """Network faults, faulty targets and releases cut connections too; the call isn't the cause."""
+    """Guards against blaming a call for network faults, faulty targets and rolling updates.
+
+    All of them cut connections too.
+    """
 
     async def body(fixture: GuardFixture) -> None:
         fixture.listening = {"t:1"} if listens else set()
@@ -158,8 +161,10 @@
     """A zone fails, and some of its targets ran no call that would have shown their crash."""
 
     async def body(fixture: GuardFixture) -> None:
-        fixture.others = [TargetStart(f"o{number}", f"o{number}:1", 5) for number in range(9)]
-        fixture.listening = {other.address for other in fixture.others} if others_listen else set()
+        fixture.siblings = [TargetStart(f"o{number}", f"o{number}:1", 5) for number in range(9)]
+        fixture.listening = (
+            {other.address for other in fixture.siblings} if others_listen else set()
+        )
         for name in ("a", "b", "c"):
             await fixture.cut(name)
             await asyncio.sleep(0.002)
@@ -182,7 +187,7 @@
         for name in ("a", "b", "c"):
             await fixture.cut(name)
             await asyncio.sleep(0.002)
-        fixture.others = []
+        fixture.siblings = []
         assert (
             fixture.ledger.verdict(CALL, asyncio.get_running_loop().time() + 1.1).value == "refused"
         )
@@ -190,7 +195,7 @@
             pass
         fixture.guard.review(["a", "b"])
         assert fixture.gossip.add_updates(EMPTY, 0.0) is EMPTY
-        fixture.guard.review(["b", "newcomer"])
+        fixture.guard.review(["b", "new"])
         rows = fixture.gossip.add_updates(EMPTY, 0.0).crashes
         assert {row.target for row in rows} == {"a@5", "b@5", "c@5"}
 
--- a/tests/crashes/test_ledger.py
+++ b/tests/crashes/test_ledger.py
@@ -20,7 +20,7 @@
 CONCURRENT: Sequence[Run] = [("a", 0.0, 0.3), ("b", 0.05, 0.3), ("c", 0.1, 0.31)]
 
 
-def record_ends(ledger: CrashLedger, digest: bytes, runs: Sequence[Run]) -> None:
+def record_crashes(ledger: CrashLedger, digest: bytes, runs: Sequence[Run]) -> None:
     for target, begun_s, ended_s in runs:
         ledger.record_crash(digest, CrashedRun(target, begun_s, ended_s, "n"), ended_s)
 
@@ -50,13 +50,13 @@
     If these counted as three crashes by that call, it would be refused permanently.
     """
     ledger = CrashLedger()
-    record_ends(ledger, CALL, runs)
+    record_crashes(ledger, CALL, runs)
     assert settled_verdict(ledger, CALL) is verdict
 
 
 def test_call_is_held_until_reports_of_other_nodes_have_arrived() -> None:
     ledger = CrashLedger()
-    record_ends(ledger, CALL, SEQUENTIAL)
+    record_crashes(ledger, CALL, SEQUENTIAL)
     assert settled_verdict(ledger, CALL, SETTLE_S / 2.0) is CrashVerdict.HELD
     assert ledger.refuse_proven_calls(0.3 + SETTLE_S / 2.0) == []
     assert ledger.refuse_proven_calls(0.3 + SETTLED_S) == [CALL]
@@ -66,41 +66,41 @@
 def test_unrelated_crashes_require_a_further_crash() -> None:
     """All targets of a service crash within a second, and a call is retried on several of them."""
     ledger = CrashLedger()
-    record_ends(ledger, CALL, SEQUENTIAL)
-    record_ends(ledger, OTHER_CALL, [("other", 0.0, 0.25)])
+    record_crashes(ledger, CALL, SEQUENTIAL)
+    record_crashes(ledger, OTHER_CALL, [("other", 0.0, 0.25)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.SUSPECT
-    record_ends(ledger, CALL, [("d", 5.0, 5.1)])
+    record_crashes(ledger, CALL, [("d", 5.0, 5.1)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
 
 
 def test_call_is_finally_refused_despite_unrelated_crashes() -> None:
     """Whatever the cause, a request under which targets crash is sent at most three more times."""
     ledger = CrashLedger()
-    record_ends(ledger, CALL, SEQUENTIAL)
+    record_crashes(ledger, CALL, SEQUENTIAL)
     for number, at_s in enumerate((0.25, 5.1, 9.1)):
-        record_ends(ledger, OTHER_CALL, [(f"other {number}", at_s - 0.1, at_s)])
-    record_ends(ledger, CALL, [("d", 5.0, 5.1)])
+        record_crashes(ledger, OTHER_CALL, [(f"other {number}", at_s - 0.1, at_s)])
+    record_crashes(ledger, CALL, [("d", 5.0, 5.1)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.SUSPECT
-    record_ends(ledger, CALL, [("e", 9.0, 9.1)])
+    record_crashes(ledger, CALL, [("e", 9.0, 9.1)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
 
 
 def test_two_simultaneous_offenders_are_both_refused() -> None:
-    """Each of two requests makes the other's crashes look like those of a lost zone.
+    """Two requests crash targets at the same times, so each looks like a victim of a lost zone.
 
     Their clients retry at another node at once, before that node can know of the latest crash. Each
-    retry round therefore costs two targets, and three retries are allowed.
+    retry therefore crashes two targets, and three retries are allowed.
     """
     ledger = CrashLedger()
-    record_ends(ledger, CALL, SEQUENTIAL)
-    record_ends(
+    record_crashes(ledger, CALL, SEQUENTIAL)
+    record_crashes(
         ledger,
         OTHER_CALL,
         [(f"{target}'", begun_s, ended_s) for target, begun_s, ended_s in SEQUENTIAL],
     )
     for number, digest in enumerate((CALL, OTHER_CALL)):
         assert settled_verdict(ledger, digest) is CrashVerdict.SUSPECT
-        record_ends(ledger, digest, [(f"d{number}", 5.0, 5.1), (f"e{number}", 5.05, 5.2)])
+        record_crashes(ledger, digest, [(f"d{number}", 5.0, 5.1), (f"e{number}", 5.05, 5.2)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
     assert settled_verdict(ledger, OTHER_CALL) is CrashVerdict.REFUSED
 
@@ -112,22 +112,22 @@
     """
     ledger = CrashLedger()
     ledger.remember_answer(CALL, -0.1)
-    record_ends(
+    record_crashes(
         ledger, CALL, [(f"t{number}", number / 10.0, number / 10.0 + 0.05) for number in range(9)]
     )
     assert ledger.apply_remembered_answer(CALL, 1.0)
     assert settled_verdict(ledger, CALL, SETTLE_S / 2.0) is CrashVerdict.HELD
     assert ledger.refuse_proven_calls(0.85 + SETTLED_S) == []
     assert settled_verdict(ledger, CALL) is CrashVerdict.SUSPECT
-    record_ends(ledger, CALL, [("d", 5.0, 5.1)])
+    record_crashes(ledger, CALL, [("d", 5.0, 5.1)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
 
 
 def test_popular_call_that_starts_crashing_targets_is_held() -> None:
-    """After a release, each target that runs a popular request crashes, and it is sent constantly.
+    """A popular request is sent constantly and, after a release, crashes each target that runs it.
 
-    Without the hold, its crashes would follow each other without a pause and couldn't be told apart
-    from those of a service that loses all its targets.
+    Unless the request is held, its crashes follow each other without a pause and can't be told
+    apart from those of a service that loses all its targets.
     """
     ledger = CrashLedger()
     ledger.remember_answer(CALL, -0.1)
@@ -135,7 +135,7 @@
     while at_s < 20.0:
         if ledger.verdict(CALL, at_s) in (CrashVerdict.CLEAR, CrashVerdict.SUSPECT):
             sent += 1
-            record_ends(ledger, CALL, [(f"t{sent}", at_s, at_s + 0.05)])
+            record_crashes(ledger, CALL, [(f"t{sent}", at_s, at_s + 0.05)])
             ledger.apply_remembered_answer(CALL, at_s + 0.05)
         at_s += 0.06
     assert sent == 4
@@ -158,7 +158,7 @@
     """
     ledger = CrashLedger()
     for digest in (CALL, OTHER_CALL):
-        record_ends(ledger, digest, SEQUENTIAL)
+        record_crashes(ledger, digest, SEQUENTIAL)
     assert settled_verdict(ledger, CALL) is CrashVerdict.SUSPECT
     assert settled_verdict(ledger, OTHER_CALL) is CrashVerdict.SUSPECT
     assert ledger.record_answer(OTHER_CALL, 2.0)
@@ -168,8 +168,8 @@
 
 def test_call_on_the_targets_of_a_refused_call_is_not_refused() -> None:
     ledger = CrashLedger()
-    record_ends(ledger, CALL, [*SEQUENTIAL, ("d", 1.0, 1.1)])
-    record_ends(ledger, OTHER_CALL, SEQUENTIAL)
+    record_crashes(ledger, CALL, [*SEQUENTIAL, ("d", 1.0, 1.1)])
+    record_crashes(ledger, OTHER_CALL, SEQUENTIAL)
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
     assert settled_verdict(ledger, OTHER_CALL) is CrashVerdict.SUSPECT
 
@@ -177,20 +177,20 @@
 def test_answer_clears_earlier_crashes_only() -> None:
     """A request of many callers is answered constantly, until a release makes it crash targets."""
     ledger = CrashLedger()
-    record_ends(ledger, CALL, SEQUENTIAL[:2])
+    record_crashes(ledger, CALL, SEQUENTIAL[:2])
     assert ledger.record_answer(CALL, 0.2)
     assert not ledger.record_answer(CALL, 0.1)
-    record_ends(ledger, CALL, [("late news", 0.05, 0.15)])
+    record_crashes(ledger, CALL, [("late report", 0.05, 0.15)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.CLEAR
-    record_ends(ledger, CALL, [("x", 1.0, 1.1), ("y", 1.2, 1.3), ("z", 1.4, 1.5)])
+    record_crashes(ledger, CALL, [("x", 1.0, 1.1), ("y", 1.2, 1.3), ("z", 1.4, 1.5)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.SUSPECT
-    record_ends(ledger, CALL, [("w", 6.0, 6.1)])
+    record_crashes(ledger, CALL, [("w", 6.0, 6.1)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
 
 
 def test_answer_lifts_refusal() -> None:
     ledger = CrashLedger()
-    record_ends(ledger, CALL, SEQUENTIAL)
+    record_crashes(ledger, CALL, SEQUENTIAL)
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
     assert ledger.record_answer(CALL, 3.0)
     assert settled_verdict(ledger, CALL) is CrashVerdict.CLEAR
@@ -209,16 +209,16 @@
         ledger.record_crash(CALL, CrashedRun(target, begun_s, ended_s, "n"), 9.0, fresh=False)
     assert ledger.verdict(CALL, 9.0) is CrashVerdict.SUSPECT
     assert ledger.refuse_proven_calls(9.0) == []
-    record_ends(ledger, CALL, [("d", 9.0, 9.1)])
+    record_crashes(ledger, CALL, [("d", 9.0, 9.1)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
 
 
 def test_suspects_are_bounded_and_refused_calls_are_kept() -> None:
     ledger = CrashLedger()
-    record_ends(ledger, CALL, SEQUENTIAL)
+    record_crashes(ledger, CALL, SEQUENTIAL)
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
     for number in range(3 * MAX_SUSPECTS):
-        record_ends(ledger, b"%d" % number, [(f"t{number}", 0.0, 0.1)])
+        record_crashes(ledger, b"%d" % number, [(f"t{number}", 0.0, 0.1)])
         assert len(ledger.suspects) <= MAX_SUSPECTS
     assert ledger.verdict(CALL, 2.0) is CrashVerdict.REFUSED
 
@@ -228,7 +228,7 @@
 )
 def test_call_that_is_no_longer_sent_is_forgotten(runs: Sequence[Run], kept_s: float) -> None:
     ledger = CrashLedger()
-    record_ends(ledger, CALL, runs)
+    record_crashes(ledger, CALL, runs)
     settled_verdict(ledger, CALL)
     assert ledger.remove_expired(kept_s - 1.0) == []
     assert ledger.remove_expired(kept_s + 10.0) == [CALL]
@@ -240,7 +240,7 @@
     ledger = CrashLedger()
     for number in range(3 * MAX_DECISIONS_PER_REVIEW):
         at_s = number * 10.0
-        record_ends(
+        record_crashes(
             ledger, b"%d" % number, [(f"{number}{t}", at_s + b, at_s + e) for t, b, e in SEQUENTIAL]
         )
     now_s = 3 * MAX_DECISIONS_PER_REVIEW * 10.0 + SETTLED_S
--- a/tests/crashes/test_news.py
+++ b/tests/crashes/test_news.py
@@ -57,7 +57,7 @@
 
 
 def test_datagrams_stay_small_and_report_the_worst_suspect_first() -> None:
-    """Each target of a busy service crashes with hundreds of calls, one of which is the cause."""
+    """Each target of a busy service crashes while it runs hundreds of calls; one is the cause."""
     node = Node(390)
     for number in range(2 * MAX_PENDING):
         node.observe_crash(b"%12d" % number, f"t{number % 8}", 0.0, 0.1)
