--- a/samphirecleat/serving/_crash_watch.py
+++ b/samphirecleat/serving/_crash_watch.py
@@ -17,16 +17,16 @@
     return TargetStart(target.instance, target.address, target.started_at_ms)
 
 
-def registration_state(targets: TargetTable, start: TargetStart) -> RegistrationState:
+def registration_state(table: TargetTable, start: TargetStart) -> RegistrationState:
     """Return the registration state of one start of a target."""
-    target = targets.targets.get(start.instance)
+    target = table.targets.get(start.instance)
     if target is None or target_start(target) != start:
         return RegistrationState.GONE
     return RegistrationState.DRAINING if target.draining else RegistrationState.READY
 
 
-def sibling_targets(targets: TargetTable, start: TargetStart) -> Sequence[TargetStart]:
+def sibling_targets(table: TargetTable, start: TargetStart) -> Sequence[TargetStart]:
     """Return the other targets of the same service; none if the target isn't registered."""
-    target = targets.targets.get(start.instance)
-    serving = targets.accepting_targets(target.service) if target is not None else ()
-    return [target_start(other) for other in serving if other.instance != start.instance]
+    target = table.targets.get(start.instance)
+    accepting = table.accepting_targets(target.service) if target is not None else ()
+    return [target_start(other) for other in accepting if other.instance != start.instance]
--- a/samphirecleat/serving/_entry_choice.py
+++ b/samphirecleat/serving/_entry_choice.py
@@ -1,8 +1,8 @@
 """Selects the nodes that are advertised to callers: all of a small fleet, part of a large one.
 
-A few dozen calls per second spread over a few dozen nodes leave each node with one call every few
-seconds. Its connections to targets are then closed as idle between calls, and nearly every call
-opens a new one. Advertising fewer nodes keeps their connections in use.
+If a few dozen calls per second are spread over a few dozen nodes, each node gets one call every few
+seconds. Its targets then close its connections as idle between calls, and nearly every call opens a
+new one. With fewer advertised nodes, connections stay in use.
 """
 
 import hashlib
@@ -41,6 +41,10 @@
     advertised: list[Member] = []
     position = 0
     while len(advertised) < wanted:
-        advertised.extend(zone[position] for zone in by_zone.values() if position < len(zone))
+        advertised.extend(
+            zone_members[position]
+            for zone_members in by_zone.values()
+            if position < len(zone_members)
+        )
         position += 1
     return advertised
--- a/samphirecleat/serving/_forwarder.py
+++ b/samphirecleat/serving/_forwarder.py
@@ -29,10 +29,11 @@
 # Retry delay for a caller whose call every target refused for lack of capacity: the time in which
 # one or two calls finish at each target.
 RETRY_AFTER_S: Final = 0.1
-# Refusals are immediate, so a few more attempts are cheap; a call may go to a target twice.
+# Refusals after which a call fails. Targets refuse at once, so several attempts are cheap; a call
+# may be sent to the same target twice.
 MAX_REFUSALS: Final = 8
-# Calls with larger bodies are hashed only while any call is suspect: a digest of each would cost
-# more than it is worth, since large bodies are rarely identical.
+# Calls with larger bodies are hashed only while any call is suspect: hashing is expensive for them,
+# and large bodies are rarely identical.
 MAX_HASHED_BODY_BYTES: Final = 65536
 
 
@@ -82,25 +83,27 @@
             have run the call.
         """
         now_s = asyncio.get_running_loop().time()
-        end_s = call.deadline_s
+        deadline_s = call.deadline_s
         if route.timeout_s > 0.0:
-            end_s = min(end_s, call.received_at_s + route.timeout_s)
-        if end_s - RETURN_MARGIN_S <= now_s:
+            deadline_s = min(deadline_s, call.received_at_s + route.timeout_s)
+        if deadline_s - RETURN_MARGIN_S <= now_s:
             raise RequestError(
                 ErrorKind.DEADLINE_EXCEEDED, "deadline passed before the call was sent", ran=Ran.NO
             )
-        run = _Forwarding(self, call, route, end_s)
+        run = _Forwarding(self, call, route, deadline_s)
         return await run.result()
 
-    def pick(self, services: Sequence[str], tried: Sequence[str], now_s: float) -> Target | None:
+    def choose_target(
+        self, services: Sequence[str], tried: Sequence[str], now_s: float
+    ) -> Target | None:
         """Return the next target for a route's services, None if there is none."""
         return self._targets.choose(services, tried, now_s)
 
-    def services_for(self, route: Route) -> Sequence[str]:
-        """Select one of the route's services at random by weight."""
+    def select_services(self, route: Route) -> Sequence[str]:
+        """Return one of the route's services, selected at random by weight."""
         return select_services(route, self._rng.random())
 
-    def verdict(self, call: Call) -> CrashVerdict:
+    def crash_verdict(self, call: Call) -> CrashVerdict:
         """Return whether a call may be sent, given the target crashes attributed to it."""
         if self._guard is None or not self._guard.has_suspects:
             return CrashVerdict.CLEAR
@@ -125,8 +128,8 @@
     def reserve(self, target: Target, *, suspect: bool) -> Callable[[], None]:
         """Count a call at its target as soon as it is selected; return a function that undoes this.
 
-        Calls that lose their target together select the next one together, before any of them is
-        sent. If they weren't counted by then, all of them would select the same target.
+        When a target fails, all its calls select their next target before any of them is sent. If
+        they were counted only when sent, all of them would select the same target.
         """
         self._targets.record_start(target, suspect=suspect)
         reserved = [target]
@@ -138,7 +141,7 @@
         return release
 
     async def attempt(
-        self, call: Call, target: Target, end_s: float, release: Callable[[], None]
+        self, call: Call, target: Target, deadline_s: float, release: Callable[[], None]
     ) -> TargetAnswer:
         """Send the call once, call ``release`` and record how the target behaved.
 
@@ -148,7 +151,7 @@
         started_s = loop.time()
         self._targets.warm.record_taken(target)
         try:
-            answer = await self._channel.exchange(call, target, end_s - started_s)
+            answer = await self._channel.exchange(call, target, deadline_s - started_s)
         except TargetFault as fault:
             self._targets.record_failure(target, loop.time(), refused=fault.refused)
             await self.record_cut(call, target, started_s, fault)
@@ -167,14 +170,14 @@
 
 
 class _Forwarding:
-    """The attempts of one call."""
+    """Runs the attempts of one call."""
 
-    def __init__(self, forwarder: Forwarder, call: Call, route: Route, end_s: float) -> None:
+    def __init__(self, forwarder: Forwarder, call: Call, route: Route, deadline_s: float) -> None:
         self._forwarder = forwarder
         self._call = call
         self._route = route
-        self._end_s = end_s
-        self._services = forwarder.services_for(route)
+        self._deadline_s = deadline_s
+        self._services = forwarder.select_services(route)
         self._tried: list[str] = []
         self._ran = Ran.NO
         self._refusal_count = 0
@@ -183,13 +186,13 @@
         self._failure_answer: TargetAnswer | None = None
         self._began_at_s = math.inf
         self._repeatable = route.kind is CallKind.IDEMPOTENT
-        self._verdict = CrashVerdict.CLEAR
+        self._crash_verdict = CrashVerdict.CLEAR
 
     async def result(self) -> TargetAnswer:
         """Return the first usable answer and cancel the other attempts."""
         attempts: list[_Attempt] = []
         try:
-            return await self._race(attempts)
+            return await self._run_attempts(attempts)
         finally:
             for attempt in attempts:
                 attempt.task.cancel()
@@ -201,14 +204,14 @@
         """Record an attempt that may have begun to run; the earliest one counts for usage."""
         self._began_at_s = min(self._began_at_s, attempt.sent_at_s)
 
-    async def _race(self, attempts: list[_Attempt]) -> TargetAnswer:
+    async def _run_attempts(self, attempts: list[_Attempt]) -> TargetAnswer:
         loop = asyncio.get_running_loop()
         hedge_s = self._route.objective_s * HEDGE_FRACTION
         next_hedge_s = loop.time() + hedge_s
         while True:
-            if not attempts and not self._start(attempts, loop.time()):
+            if not attempts and not self._start_attempt(attempts, loop.time()):
                 return self._give_up(loop.time())
-            left_s = self._end_s - RETURN_MARGIN_S - loop.time()
+            left_s = self._deadline_s - RETURN_MARGIN_S - loop.time()
             if left_s <= 0.0:
                 raise RequestError(
                     ErrorKind.DEADLINE_EXCEEDED,
@@ -222,23 +225,25 @@
             )
             for attempt in [a for a in attempts if a.task in done]:
                 attempts.remove(attempt)
-                answer = self._settle(attempt, loop.time())
+                answer = self._take_result(attempt, loop.time())
                 if answer is not None:
                     return answer
             if not done and may_hedge and loop.time() >= next_hedge_s:
-                self._start(attempts, loop.time())
+                self._start_attempt(attempts, loop.time())
                 next_hedge_s = loop.time() + 2.0 * hedge_s
 
-    def _start(self, attempts: list[_Attempt], now_s: float) -> bool:
+    def _start_attempt(self, attempts: list[_Attempt], now_s: float) -> bool:
         """Start another attempt; return False if there is no attempt or target left."""
         if self._attempts_used >= self._route.max_attempts or self._refusal_count >= MAX_REFUSALS:
             return False
         if self._ran is not Ran.NO and not self._repeatable:
             return False
-        self._verdict = self._forwarder.verdict(self._call)
-        if is_blocked(self._verdict) or (attempts and self._verdict is not CrashVerdict.CLEAR):
+        self._crash_verdict = self._forwarder.crash_verdict(self._call)
+        if is_blocked(self._crash_verdict) or (
+            attempts and self._crash_verdict is not CrashVerdict.CLEAR
+        ):
             return False
-        target = self._forwarder.pick(self._services, self._tried, now_s)
+        target = self._forwarder.choose_target(self._services, self._tried, now_s)
         if target is None:
             return False
         if attempts and target.instance in self._tried:
@@ -246,16 +251,18 @@
         self._tried.append(target.instance)
         self._attempts_used += 1
         self._attempt_log.record_sent(target.instance, now_s)
-        release = self._forwarder.reserve(target, suspect=self._verdict is not CrashVerdict.CLEAR)
-        attempt = self._forwarder.attempt(self._call, target, self._end_s, release)
+        release = self._forwarder.reserve(
+            target, suspect=self._crash_verdict is not CrashVerdict.CLEAR
+        )
+        attempt = self._forwarder.attempt(self._call, target, self._deadline_s, release)
         task = asyncio.ensure_future(attempt)
         # A task that is cancelled before its first step doesn't release the target itself.
         task.add_done_callback(lambda _task: release())
         attempts.append(_Attempt(target, task, now_s))
         return True
 
-    def _settle(self, attempt: _Attempt, now_s: float) -> TargetAnswer | None:
-        """Return the attempt's answer if it settles the call; otherwise record the failure."""
+    def _take_result(self, attempt: _Attempt, now_s: float) -> TargetAnswer | None:
+        """Record an attempt's result; return its answer, None if the call needs another attempt."""
         try:
             answer = attempt.task.result()
         except TargetFault as fault:
@@ -280,18 +287,20 @@
         return answer
 
     def _give_up(self, now_s: float) -> TargetAnswer:
-        """Return the failure that a target answered with.
+        """Return the latest answer that reported a failure.
 
-        :raises RequestError: if no target answered with a failure.
+        :raises RequestError: if there is no such answer.
         """
         if self._failure_answer is not None:
             return self._failure_answer
-        if is_blocked(self._verdict):
-            raise barred_call_error(self._verdict, self._ran, self._attempt_log.summary(now_s))
+        if is_blocked(self._crash_verdict):
+            raise blocked_call_error(
+                self._crash_verdict, self._ran, self._attempt_log.summary(now_s)
+            )
         raise no_answer_error(self._ran, self._attempt_log.summary(now_s))
 
 
-def barred_call_error(verdict: CrashVerdict, ran: Ran, detail: str) -> RequestError:
+def blocked_call_error(verdict: CrashVerdict, ran: Ran, detail: str) -> RequestError:
     """Return the error for a call that isn't sent because targets crashed under it.
 
     ``ran`` is NO only if no target can have run the call under its ID.
--- a/samphirecleat/serving/_registry.py
+++ b/samphirecleat/serving/_registry.py
@@ -1,8 +1,8 @@
 """Tracks registered targets and keeps those whose registration may merely have expired.
 
 Registrations of live targets expire while the store is unavailable and return within about two
-seconds after it recovers. Dropping such targets at once would leave the node without targets for
-that time and move every run off its engine.
+seconds after it recovers. If such targets were dropped at once, the node would have no targets for
+that time, and every run would move to another engine.
 """
 
 from collections.abc import Callable, Mapping
@@ -11,8 +11,8 @@
 from .._boot_clock import boot_time_s
 from ._types import Target
 
-# Longest use of a vanished registration after the store was last unavailable.
-VANISHED_KEEP_S: Final = 2.2
+# Vanished registrations are still used for this long after the store was last unavailable.
+VANISHED_TTL_S: Final = 2.2
 
 
 class TargetRegistry:
@@ -47,7 +47,7 @@
 
     def usable_targets(self) -> Mapping[str, Target]:
         """Return the targets that are in use, including vanished ones that are still kept."""
-        if self._vanished and boot_time_s() - self._store_failed_at_s() > VANISHED_KEEP_S:
+        if self._vanished and boot_time_s() - self._store_failed_at_s() > VANISHED_TTL_S:
             self._vanished.clear()
         if not self._vanished:
             return dict(self._registered)
--- a/samphirecleat/serving/_route_table.py
+++ b/samphirecleat/serving/_route_table.py
@@ -25,7 +25,7 @@
 
     @property
     def has_config(self) -> bool:
-        """Whether a configuration has been received; without one, no route can be denied."""
+        """Whether a configuration has been received; if not, any route may still exist."""
         return self.config.revision >= 0
 
     def require_config(self) -> None:
--- a/samphirecleat/serving/_stream_relay.py
+++ b/samphirecleat/serving/_stream_relay.py
@@ -1,8 +1,8 @@
-"""Relays an event stream and resumes it at another target if one breaks off.
+"""Relays an event stream and resumes it at another target if a target breaks it off.
 
 Streams have a few dozen events, 40 ms apart. A target may break a stream off, go silent in the
-middle, or have been replaced before the stream began. A caller that has received the first events
-loses its answer unless the stream resumes within about two seconds.
+middle, or have been replaced before the stream began. A caller disconnects after about two seconds
+without an event and then loses the whole answer.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
     MAX_REFUSALS,
     RETURN_MARGIN_S,
     Forwarder,
-    barred_call_error,
+    blocked_call_error,
     no_answer_error,
 )
 from ._target_table import TargetTable
@@ -32,11 +32,11 @@
     TargetFault,
 )
 
-# A run is abandoned if its target sends no event for this long. Events are about 40 ms apart, an
-# engine that loads new weights pauses for a second, and callers disconnect after two.
+# A run is abandoned if its target sends no event for this long. An engine that loads new weights
+# pauses for one second, and callers disconnect after two seconds.
 EVENT_TIMEOUT_S: Final = 1.4
 
-_Item = TargetAnswer | StreamStart | StreamEvent
+_StreamItem = TargetAnswer | StreamStart | StreamEvent
 
 
 def _release_nothing() -> None:
@@ -44,7 +44,7 @@
 
 
 class StreamBrokenError(Exception):
-    """A partly relayed stream that can't be completed; the caller must see it cut off."""
+    """A partly relayed stream can't be completed, so it must be cut off for the caller."""
 
 
 class StreamRelay:
@@ -59,7 +59,7 @@
     async def open(
         self, call: Call, route: Route, last_event_id: int
     ) -> "TargetAnswer | RelayedStream":
-        """Return the stream of a call, or the failure that a target answered with.
+        """Return the stream of a call, or a complete answer that a target gave instead.
 
         ``last_event_id`` is the event after which the caller resumes, 0 to start at the beginning.
 
@@ -72,17 +72,17 @@
 
 
 class RelayedStream:
-    """The stream of one caller, produced by one target after another."""
+    """The stream of one call; if a target fails, the next one continues it."""
 
     def __init__(self, relay: StreamRelay, call: Call, route: Route, last_event_id: int) -> None:
         """Prepare the stream; nothing is sent yet."""
         self._relay = relay
         self._call = call
         self._route = route
-        self._end_s = call.deadline_s
+        self._deadline_s = call.deadline_s
         if route.timeout_s > 0.0:
-            self._end_s = min(self._end_s, call.received_at_s + route.timeout_s)
-        self._services = relay.forwarder.services_for(route)
+            self._deadline_s = min(self._deadline_s, call.received_at_s + route.timeout_s)
+        self._services = relay.forwarder.select_services(route)
         self._tried: list[str] = []
         self._attempts_used = 0
         self._refusal_count = 0
@@ -91,25 +91,25 @@
         self._attempt_log = AttemptLog()
         self._last_event_id = last_event_id
         self._target: Target | None = None
-        self._source: AsyncGenerator[_Item, None] | None = None
+        self._source: AsyncGenerator[_StreamItem, None] | None = None
         self._repeatable = route.resumable
         self._metered = False
-        self._verdict = CrashVerdict.CLEAR
+        self._crash_verdict = CrashVerdict.CLEAR
         self._run_started_s = 0.0
         self._release: Callable[[], None] = _release_nothing
         self.start = StreamStart(0, (), 0)
 
     async def begin(self) -> TargetAnswer | None:
-        """Return None once a target streams, or the failure that one answered with.
+        """Return None once a target streams, or a complete answer that a target gave instead.
 
-        :raises RequestError: when no target streams.
+        :raises RequestError: when there is neither.
         """
         while True:
-            self._check_time()
+            self._require_time_left()
             if not self._start_run():
                 return self._give_up()
             try:
-                first = await self._next()
+                first = await self._next_item()
             except TargetFault as fault:
                 await self._fail_run(fault)
                 continue
@@ -131,14 +131,14 @@
             await self._fail_run(TargetFault("stream sent an event before its head", Ran.UNKNOWN))
 
     async def events(self) -> AsyncGenerator[StreamEvent, None]:
-        """Yield complete events as they arrive, across targets, until the stream is complete.
+        """Yield each complete event as it arrives, from whichever target runs the stream.
 
         :raises StreamBrokenError: when the stream can't be completed.
         """
         try:
             while True:
                 try:
-                    item = await self._next()
+                    item = await self._next_item()
                     if item is None:
                         self._relay.forwarder.record_answer(self._call)
                         return
@@ -159,7 +159,7 @@
             self._release()
             self._target = None
 
-    def _check_event(self, item: _Item) -> StreamEvent:
+    def _check_event(self, item: _StreamItem) -> StreamEvent:
         """Return the event to relay.
 
         :raises TargetFault: if the item isn't the next event.
@@ -175,13 +175,13 @@
             self._relay.forwarder.meter(self._call.workspace, asyncio.get_running_loop().time())
         return item
 
-    async def _next(self) -> _Item | None:
+    async def _next_item(self) -> _StreamItem | None:
         """Return the target's next item, None at the end of its stream.
 
         :raises TargetFault: when nothing arrives in time.
         """
         assert self._source is not None
-        left_s = self._end_s - RETURN_MARGIN_S - asyncio.get_running_loop().time()
+        left_s = self._deadline_s - RETURN_MARGIN_S - asyncio.get_running_loop().time()
         wait_s = min(left_s, EVENT_TIMEOUT_S) if self._repeatable else left_s
         try:
             async with asyncio.timeout(max(0.0, wait_s)):
@@ -196,10 +196,10 @@
             return False
         if self._ran is not Ran.NO and not self._repeatable:
             return False
-        self._verdict = self._relay.forwarder.verdict(self._call)
-        if is_blocked(self._verdict):
+        self._crash_verdict = self._relay.forwarder.crash_verdict(self._call)
+        if is_blocked(self._crash_verdict):
             return False
-        target = self._relay.forwarder.pick(self._services, self._tried, loop.time())
+        target = self._relay.forwarder.choose_target(self._services, self._tried, loop.time())
         if target is None:
             return False
         self._tried.append(target.instance)
@@ -207,10 +207,10 @@
         self._run_started_s = loop.time()
         self._target = target
         self._attempt_log.record_sent(target.instance, loop.time())
-        suspect = self._verdict is not CrashVerdict.CLEAR
+        suspect = self._crash_verdict is not CrashVerdict.CLEAR
         self._release = self._relay.forwarder.reserve(target, suspect=suspect)
         self._source = self._relay.channel.stream(
-            self._call, target, self._end_s - loop.time(), self._last_event_id
+            self._call, target, self._deadline_s - loop.time(), self._last_event_id
         )
         return True
 
@@ -237,7 +237,7 @@
         """
         while self._repeatable and self._has_time_left() and self._start_run():
             try:
-                first = await self._next()
+                first = await self._next_item()
             except TargetFault as fault:
                 await self._fail_run(fault)
                 continue
@@ -255,9 +255,9 @@
         return self._attempt_log.summary(asyncio.get_running_loop().time())
 
     def _has_time_left(self) -> bool:
-        return asyncio.get_running_loop().time() < self._end_s - RETURN_MARGIN_S
+        return asyncio.get_running_loop().time() < self._deadline_s - RETURN_MARGIN_S
 
-    def _check_time(self) -> None:
+    def _require_time_left(self) -> None:
         if not self._has_time_left():
             raise RequestError(
                 ErrorKind.DEADLINE_EXCEEDED,
@@ -266,12 +266,12 @@
             )
 
     def _give_up(self) -> TargetAnswer:
-        """Return the failure that a target answered with.
+        """Return the latest answer that reported a failure.
 
-        :raises RequestError: if no target answered with a failure.
+        :raises RequestError: if there is no such answer.
         """
         if self._failure_answer is not None:
             return self._failure_answer
-        if is_blocked(self._verdict):
-            raise barred_call_error(self._verdict, self._ran, self._attempt_summary())
+        if is_blocked(self._crash_verdict):
+            raise blocked_call_error(self._crash_verdict, self._ran, self._attempt_summary())
         raise no_answer_error(self._ran, self._attempt_summary())
--- a/samphirecleat/serving/_target_table.py
+++ b/samphirecleat/serving/_target_table.py
@@ -1,8 +1,8 @@
 """Tracks the targets that may receive work and selects one for each call.
 
-Each node sees few calls, spread over many nodes. A target may become slow, refuse calls or stop
+Each node sees only its own share of the calls. A target may become slow, refuse calls or stop
 answering while its registration still reports it as ready. A call under which a target crashed may
-crash the next one too, along with everything else that runs there.
+crash the next target too, which ends all other calls that run there.
 """
 
 import hashlib
@@ -20,13 +20,13 @@
 REFUSAL_BACKOFF_S: Final = 0.05
 # Weight of the newest duration in a target's exponential moving average.
 DURATION_EMA_WEIGHT: Final = 0.3
-# Durations expire this long after a target's last call. Without that, a target that was slow is
-# avoided and never gets a call that would show that it has recovered.
+# Durations expire this long after a target's last call. Otherwise a target that was once slow would
+# be avoided forever, since only a call can show that it has recovered.
 DURATION_TTL_S: Final = 8.0
-# Cost of opening a new connection, in calls in flight: less than a call that waits at a target, but
-# enough to keep a few calls per second on a few targets.
+# Cost of opening a new connection, in calls in flight per slot: less than a call that waits at a
+# target, but enough to keep a few calls per second on a few targets.
 NEW_CONNECTION_COST: Final = 0.4
-# Cost of a target in another availability zone, in calls in flight.
+# Cost of a target in another availability zone, in calls in flight per slot.
 OTHER_ZONE_COST: Final = 0.25
 
 
@@ -89,7 +89,7 @@
 
     def record_answer(self, target: Target, duration_s: float, now_s: float) -> None:
         """Record the duration of a complete answer."""
-        self._note_duration(target, duration_s, now_s)
+        self._record_duration(target, duration_s, now_s)
         self._backoff_until_s.pop(target.instance, None)
 
     def record_abandoned(self, target: Target, waited_s: float, now_s: float) -> None:
@@ -106,9 +106,9 @@
             else _median_s(d.mean_s for d in self._durations.values())
         )
         if waited_s > mean_s:
-            self._note_duration(target, waited_s, now_s)
+            self._record_duration(target, waited_s, now_s)
 
-    def _note_duration(self, target: Target, duration_s: float, now_s: float) -> None:
+    def _record_duration(self, target: Target, duration_s: float, now_s: float) -> None:
         duration = self._durations.get(target.instance)
         mean_s = duration.mean_s if duration is not None else duration_s
         mean_s += DURATION_EMA_WEIGHT * (duration_s - mean_s)
@@ -130,16 +130,16 @@
 
         A target in ``tried`` is returned only if no other is left, and one that is being avoided
         only if all are. A target that runs a suspect call of this node gets no other call while
-        another target is available: an innocent call isn't lost with the target, and two suspects
-        that run on separate targets can be told apart.
+        another target is available. An innocent call is then not lost if the target crashes, and a
+        crash can be attributed to one suspect.
         """
         candidates = [target for service in services for target in self.accepting_targets(service)]
         if not candidates:
             return None
-        means_s = self._means_s(candidates, now_s)
+        means_s = self._recent_means_s(candidates, now_s)
         median_s = _median_s(means_s.values())
 
-        def cost(target: Target) -> tuple[bool, bool, bool, float]:
+        def rank(target: Target) -> tuple[bool, bool, bool, float]:
             load = self.in_flight[target.instance] / max(1, target.slots)
             slowness = means_s.get(target.instance, median_s) / median_s
             zone_cost = 0.0 if target.zone == self._zone else OTHER_ZONE_COST
@@ -151,9 +151,9 @@
                 (1.0 + load + zone_cost + connection_cost) * max(1.0, slowness),
             )
 
-        return min(candidates, key=cost)
+        return min(candidates, key=rank)
 
-    def _means_s(self, candidates: Sequence[Target], now_s: float) -> Mapping[str, float]:
+    def _recent_means_s(self, candidates: Sequence[Target], now_s: float) -> Mapping[str, float]:
         """Return the recently observed mean call durations by instance."""
         return {
             target.instance: duration.mean_s
--- a/samphirecleat/serving/_types.py
+++ b/samphirecleat/serving/_types.py
@@ -28,8 +28,9 @@
 class Route(NamedTuple):
     """One route of the active configuration.
 
-    ``timeout_s`` is the longest time that a call may wait; 0 means no limit. ``max_attempts``
-    counts the targets that one attempt of the caller may be sent to.
+    ``timeout_s`` is the longest time that a call may wait; 0 means no limit. ``objective_s`` is the
+    latency objective. ``max_attempts`` limits how often one call may be sent to a target, not
+    counting attempts that didn't run.
     """
 
     name: str
@@ -77,7 +78,8 @@
 class EngineSpec(NamedTuple):
     """Configuration of a service of model engines.
 
-    Each event of a stream holds ``tokens_per_event`` tokens.
+    ``memory_tokens`` is the capacity of an engine's KV cache. Each event of a stream holds
+    ``tokens_per_event`` tokens.
     """
 
     slots: int
@@ -108,8 +110,8 @@
 class RoutingConfig(NamedTuple):
     """A complete configuration; a higher ``revision`` replaces a lower one.
 
-    Callers must present the key of a workspace if ``requires_keys`` is set. With an empty list of
-    workspaces, only callers of routes that allow anonymous calls are then served.
+    If ``requires_keys`` is set, callers must present the key of a workspace, except on routes that
+    allow anonymous calls. Without any workspaces, only such routes are then served.
     """
 
     revision: int
@@ -140,7 +142,7 @@
 
 
 class Call(NamedTuple):
-    """One attempt of a caller as received; header names and bytes are unchanged.
+    """A request as received from a caller; header names and bytes are unchanged.
 
     ``raw_path`` holds the path and query as sent. ``deadline_s`` is the time on the node's clock at
     which the caller stops waiting. ``workspace`` is the one whose key the caller presented, "" for
@@ -172,8 +174,8 @@
     """An attempt at a target that yielded no usable answer.
 
     ``ran`` is NO only if no byte was sent to the target, or the target said that the call didn't
-    run. ``refused`` marks a target that has no capacity, ``wrong_instance`` a different target at
-    the expected address. ``cut`` says that the target closed the connection before its answer was
+    run. ``refused`` means that the target has no capacity, ``wrong_instance`` that another target
+    answered at its address, and ``cut`` that the target closed the connection before its answer was
     complete.
     """
 
@@ -207,7 +209,7 @@
 
 
 class StreamStart(NamedTuple):
-    """The head of an event stream; ``version`` produced the events that follow."""
+    """The head of an event stream; the events come from ``version`` of the model."""
 
     status: int
     headers: Sequence[tuple[str, str]]
--- a/samphirecleat/serving/_warm_connections.py
+++ b/samphirecleat/serving/_warm_connections.py
@@ -1,7 +1,7 @@
 """Tracks the targets to which this node holds an idle connection.
 
-In a large fleet each node sends few calls per second. Spread over all targets, each connection
-would be closed as idle by its target, and nearly every call would open a new one.
+In a large fleet each node sends few calls per second. If a node spread them over all targets, the
+targets would close its connections as idle, and nearly every call would open a new one.
 """
 
 from collections.abc import Callable
@@ -28,7 +28,7 @@
         self._idle_since_s: dict[str, list[float]] = {}
 
     def record_taken(self, target: Target) -> None:
-        """Record that a call takes a connection, the most recently used one if any is idle."""
+        """Record that a call uses a connection: the most recently used idle one, or a new one."""
         idle = self._idle_since_s.get(target.instance)
         if idle:
             idle.pop()
--- a/tests/serving/test_crash_watch.py
+++ b/tests/serving/test_crash_watch.py
@@ -141,8 +141,8 @@
         calls = ["/suspect", "/another", *(f"/{number}" for number in range(12))]
         await asyncio.gather(*(fixture.forward(path, path) for path in calls))
         runs = {path: fixture.channel.asked_for(path)[0] for path in calls}
-        beside = [path for path in calls[1:] if runs[path] == runs["/suspect"]]
-        assert beside == []
+        sharing_target = [path for path in calls[1:] if runs[path] == runs["/suspect"]]
+        assert sharing_target == []
         assert not +fixture.table.suspect_runs
 
     run_with_fixture(body)
--- a/tests/serving/test_stream_relay.py
+++ b/tests/serving/test_stream_relay.py
@@ -125,7 +125,7 @@
         "no fault",
         "broken",
         "twice",
-        "an event lacks",
+        "event missing",
         "refused",
         "no head",
         "failed",
@@ -144,7 +144,7 @@
 
 
 def test_stream_moves_from_silent_target_to_another(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A connection goes silent in the middle of a stream; callers disconnect after two seconds."""
+    """Guards against waiting for a silent target until the caller disconnects after two seconds."""
     monkeypatch.setattr(relay_module, "EVENT_TIMEOUT_S", 0.05)
     channel = ScriptedStreams([3, "quiet"])
     assert relay(channel, route(resumable=True)) == (list(range(1, EVENT_COUNT + 1)), "whole", None)
