--- a/samphirecleat/crashes/_suspect.py
+++ b/samphirecleat/crashes/_suspect.py
@@ -16,7 +16,7 @@
 # Maximum difference between two nodes' times of one event: the latency of a datagram.
 CLOCK_SLACK_S: Final = 0.03
 # Time within which other nodes' reports of an event arrive. A run that began at least this long
-# after the last crash belongs to a new burst: any other cause of the earlier crashes has passed.
+# after the last crash belongs to a new burst, assuming that any outside cause has passed by then.
 SETTLE_S: Final = 1.0
 
 
--- a/tests/crashes/test_guard.py
+++ b/tests/crashes/test_guard.py
@@ -62,7 +62,7 @@
         await self.guard.record_cut("r", digest, start, now_s - 0.001, "reset")
 
     @property
-    def ends(self) -> set[str]:
+    def crashed(self) -> set[str]:
         suspect = self.ledger.suspects.get(CALL)
         return set() if suspect is None else set(suspect.crashed_runs)
 
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    ("listens", "registered", "ends"),
+    ("listens", "registered", "crashed"),
     [
         (False, RegistrationState.READY, {"t@5"}),
         (True, RegistrationState.READY, set()),
@@ -85,7 +85,7 @@
     ids=["crashed", "still listening", "draining", "not registered"],
 )
 def test_cut_counts_only_if_target_crashed(
-    listens: bool, registered: RegistrationState, ends: set[str]
+    listens: bool, registered: RegistrationState, crashed: set[str]
 ) -> None:
     """Guards against blaming a call for network faults, faulty targets and rolling updates.
 
@@ -96,14 +96,14 @@
         fixture.listening = {"t:1"} if listens else set()
         fixture.registered["t"] = registered
         await fixture.cut("t")
-        assert fixture.ends == ends
-        assert bool(fixture.recorder.recorded) == bool(ends)
+        assert fixture.crashed == crashed
+        assert bool(fixture.recorder.recorded) == bool(crashed)
 
     run_with_fixture(body)
 
 
 @pytest.mark.parametrize(
-    ("after", "ends"),
+    ("after", "crashed"),
     [
         (RegistrationState.GONE, {"t@5"}),
         (RegistrationState.DRAINING, set()),
@@ -111,7 +111,7 @@
     ],
 )
 def test_restarted_target_is_judged_by_its_registration(
-    monkeypatch: pytest.MonkeyPatch, after: RegistrationState, ends: set[str]
+    monkeypatch: pytest.MonkeyPatch, after: RegistrationState, crashed: set[str]
 ) -> None:
     """A supervisor restarts a crashed target before it can be probed."""
     monkeypatch.setattr(guard_module, "UNCONFIRMED_CUT_TTL_S", 0.0)
@@ -121,10 +121,10 @@
         await fixture.cut("t")
         fixture.registered["t"] = after
         fixture.guard.review([])
-        assert fixture.ends == ends
+        assert fixture.crashed == crashed
         fixture.registered["t"] = RegistrationState.GONE
         fixture.guard.review([])
-        assert fixture.ends == ends
+        assert fixture.crashed == crashed
 
     run_with_fixture(body)
 
--- a/tests/serving/test_crash_watch.py
+++ b/tests/serving/test_crash_watch.py
@@ -34,7 +34,7 @@
 
 
 class CrashingChannel:
-    """Targets that answer after ``answer_delay_s`` and crash on calls to ``/ends``."""
+    """Targets that answer after ``answer_delay_s`` and crash on calls to ``/crash``."""
 
     def __init__(self) -> None:
         self.answer_delay_s = 0.0
@@ -44,7 +44,7 @@
         del budget_s
         self.asked.append((call.raw_path, target.instance))
         await asyncio.sleep(self.answer_delay_s)
-        if call.raw_path == "/ends":
+        if call.raw_path == "/crash":
             raise TargetFault("reset", Ran.UNKNOWN, cut=True)
         return OK
 
@@ -72,7 +72,7 @@
         )
 
     async def _listens(self, address: str) -> bool:
-        return address.partition(":")[0] not in self.channel.asked_for("/ends")
+        return address.partition(":")[0] not in self.channel.asked_for("/crash")
 
     def call(self, raw_path: str, request_id: str = "id") -> Call:
         now_s = asyncio.get_running_loop().time()
@@ -99,16 +99,16 @@
     async def body(fixture: ForwarderFixture) -> None:
         for number in range(2):
             with pytest.raises(RequestError) as raised:
-                await fixture.forward("/ends", f"id-{number}")
+                await fixture.forward("/crash", f"id-{number}")
             assert raised.value.ran is Ran.UNKNOWN
         assert len(fixture.channel.asked) == 3
         with pytest.raises(RequestError) as raised:
-            await fixture.forward("/ends", "held")
+            await fixture.forward("/crash", "held")
         assert (raised.value.kind, raised.value.ran) == (ErrorKind.CRASH_SUSPECTED, Ran.NO)
         assert raised.value.retry_after_s > 0.0
         await asyncio.sleep(SETTLE_S + 0.05)
         with pytest.raises(RequestError) as raised:
-            await fixture.forward("/ends", "refused")
+            await fixture.forward("/crash", "refused")
         assert (raised.value.kind, raised.value.ran) == (ErrorKind.CRASHES_TARGETS, Ran.UNKNOWN)
         assert raised.value.retry_after_s == 0.0
         assert len(fixture.channel.asked) == 3
