--- a/samphirecleat/crashes/__init__.py
+++ b/samphirecleat/crashes/__init__.py
@@ -1,6 +1,6 @@
 """Detects calls that crash their targets, across all nodes, and bounds their retries."""
 
-from ._barred import barred_error, is_barred
+from ._barred import blocked_error, is_blocked
 from ._call_mark import request_digest
 from ._guard import (
     CrashGuard,
@@ -11,23 +11,30 @@
 )
 from ._ledger import CrashLedger
 from ._news import CrashGossip
-from ._suspect import MAX_ENDS, MIN_ENDS_TO_REFUSE, SETTLE_S, CrashVerdict, RunEnd, Suspect
+from ._suspect import (
+    MAX_CRASHES,
+    MIN_CRASHES_TO_REFUSE,
+    SETTLE_S,
+    CrashedRun,
+    CrashVerdict,
+    Suspect,
+)
 
 __all__ = [
-    "MIN_ENDS_TO_REFUSE",
-    "MAX_ENDS",
+    "MIN_CRASHES_TO_REFUSE",
+    "MAX_CRASHES",
     "SETTLE_S",
     "CrashGuard",
     "CrashLedger",
     "CrashGossip",
     "EvidenceRecorder",
     "RegistrationState",
-    "RunEnd",
+    "CrashedRun",
     "CrashVerdict",
     "Suspect",
     "TargetStart",
     "NullEvidenceRecorder",
-    "barred_error",
+    "blocked_error",
     "request_digest",
-    "is_barred",
+    "is_blocked",
 ]
--- a/samphirecleat/crashes/_ledger.py
+++ b/samphirecleat/crashes/_ledger.py
@@ -1,9 +1,9 @@
 """Determines which calls crash the targets that run them, from the reports of all nodes.
 
-A request that crashes each target that begins to run it is resent with a new ID, at any node. With
-an attempt limit per call only, it crashes three targets each time. A crashing target takes all its
-calls down, so most calls under which a target crashed are innocent; what happens to a call
-afterwards tells them apart.
+The caller of a request that crashes every target resends it with a new ID, to any node. A limit on
+the attempts per call doesn't stop it: each resend crashes up to three more targets. A crashing
+target ends all calls that it runs, so most calls under which a target crashed are innocent. They
+are recognized by their later runs, which are answered or crash no further target.
 
 Pure: performs no I/O and uses neither clock nor randomness.
 """
@@ -14,14 +14,14 @@
 
 from ._suspect import (
     SETTLE_S,
+    CrashedRun,
     CrashVerdict,
-    RunEnd,
     Suspect,
     crashes_targets,
     may_crash_targets,
 )
 
-# Targets that crash within this time of each other may have a common cause.
+# Crashes of targets within this time of each other may have a common cause.
 COMMON_CAUSE_WINDOW_S: Final = 0.5
 # A call that isn't refused is forgotten this long after its latest crash.
 SUSPECT_TTL_S: Final = 600.0
@@ -30,13 +30,13 @@
 # Time for which an answer to a call is remembered.
 ANSWER_TTL_S: Final = 60.0
 MAX_ANSWERS: Final = 4096
-ENDED_TARGET_TTL_S: Final = 60.0
+CRASHED_TARGET_TTL_S: Final = 60.0
 # Limits the decisions per review, so that many suspects don't block the event loop.
 MAX_DECISIONS_PER_REVIEW: Final = 32
 MAX_SUSPECTS: Final = 2048
 # Suspects are evicted in batches, since ranking them requires a scan of all.
 EVICTION_BATCH: Final = 128
-MAX_ENDS_PER_CALL: Final = 16
+MAX_CRASHES_PER_CALL: Final = 16
 
 
 class CrashLedger:
@@ -45,35 +45,38 @@
     def __init__(self) -> None:
         """Start without suspects."""
         self.suspects: OrderedDict[bytes, Suspect] = OrderedDict()
-        self.ended_targets: OrderedDict[str, float] = OrderedDict()
+        self.crashed_targets: OrderedDict[str, float] = OrderedDict()
         self._answered: OrderedDict[bytes, float] = OrderedDict()
         self._undecided: set[bytes] = set()
 
-    def note_end(self, digest: bytes, end: RunEnd, now_s: float, *, fresh: bool = True) -> bool:
-        """Record a run that ended with its target; return False if it is known or irrelevant.
+    def record_crash(
+        self, digest: bytes, run: CrashedRun, now_s: float, *, fresh: bool = True
+    ) -> bool:
+        """Record a run whose target crashed; return False if it is known or irrelevant.
 
-        An end that isn't ``fresh`` happened before this process started and proves nothing alone.
+        A crash that isn't ``fresh`` happened before this process started. A call isn't refused on
+        such crashes alone.
         """
-        self.note_ended_target(end.target, end.ended_s, now_s)
+        self.record_crashed_target(run.target, run.ended_s, now_s)
         suspect = self._get_or_add(digest)
-        if end.target in suspect.ends or end.begun_s <= suspect.answered_s:
+        if run.target in suspect.crashed_runs or run.begun_s <= suspect.answered_s:
             return False
-        if len(suspect.ends) >= MAX_ENDS_PER_CALL:
+        if len(suspect.crashed_runs) >= MAX_CRASHES_PER_CALL:
             return False
-        suspect.ends[end.target] = end
+        suspect.crashed_runs[run.target] = run
         suspect.seen_at_s = max(suspect.seen_at_s, now_s)
         suspect.fresh = suspect.fresh or fresh
         if may_crash_targets(suspect):
             self._undecided.add(digest)
         return True
 
-    def note_ended_target(self, target: str, at_s: float, now_s: float) -> bool:
+    def record_crashed_target(self, target: str, at_s: float, now_s: float) -> bool:
         """Record a crashed target, whatever it ran; return False if it is known or too old."""
-        if now_s - at_s > ENDED_TARGET_TTL_S or target in self.ended_targets:
+        if now_s - at_s > CRASHED_TARGET_TTL_S or target in self.crashed_targets:
             return False
-        self.ended_targets[target] = at_s
-        if len(self.ended_targets) > MAX_SUSPECTS:
-            self.ended_targets.popitem(last=False)
+        self.crashed_targets[target] = at_s
+        if len(self.crashed_targets) > MAX_SUSPECTS:
+            self.crashed_targets.popitem(last=False)
         return True
 
     def remember_answer(self, digest: bytes, answered_s: float) -> None:
@@ -83,7 +86,7 @@
         if len(self._answered) > MAX_ANSWERS:
             self._answered.popitem(last=False)
 
-    def recall_answer(self, digest: bytes, now_s: float) -> bool:
+    def apply_remembered_answer(self, digest: bytes, now_s: float) -> bool:
         """Apply a remembered answer to a suspect; return False if it changes nothing."""
         answered_s = self._answered.get(digest)
         if answered_s is None or now_s - answered_s > ANSWER_TTL_S:
@@ -91,27 +94,29 @@
         suspect = self._get_or_add(digest)
         if answered_s <= suspect.answered_s:
             return False
-        self.note_answer(digest, answered_s)
+        self.record_answer(digest, answered_s)
         return True
 
-    def note_answer(self, digest: bytes, answered_s: float) -> bool:
-        """Record that a target answered a call: earlier crashes under it have another cause.
+    def record_answer(self, digest: bytes, answered_s: float) -> bool:
+        """Record that a target answered a call, so that earlier crashes had another cause.
 
-        Return False if that clears nothing. The answer is kept for a while, since reports of
+        Return False if there was nothing to clear. The answer is kept for a while, since reports of
         earlier crashes may still arrive.
         """
         suspect = self._get_or_add(digest)
         if answered_s <= suspect.answered_s:
             return False
         suspect.answered_s = answered_s
-        before = len(suspect.ends)
-        suspect.ends = {t: end for t, end in suspect.ends.items() if end.begun_s > answered_s}
-        cleared = len(suspect.ends) < before or suspect.refused
-        if not suspect.ends:
+        before = len(suspect.crashed_runs)
+        suspect.crashed_runs = {
+            t: run for t, run in suspect.crashed_runs.items() if run.begun_s > answered_s
+        }
+        cleared = len(suspect.crashed_runs) < before or suspect.refused
+        if not suspect.crashed_runs:
             suspect.refused = False
         return cleared
 
-    def note_refused(self, digest: bytes, now_s: float) -> bool:
+    def record_refused(self, digest: bytes, now_s: float) -> bool:
         """Record that another node refuses a call; return False if that is known."""
         suspect = self._get_or_add(digest)
         suspect.seen_at_s = now_s
@@ -130,7 +135,7 @@
         if suspect.refused:
             suspect.seen_at_s = now_s
             return CrashVerdict.REFUSED
-        if not suspect.ends:
+        if not suspect.crashed_runs:
             return CrashVerdict.CLEAR
         if not may_crash_targets(suspect):
             return CrashVerdict.SUSPECT
@@ -143,7 +148,7 @@
         suspect = self.suspects.get(digest)
         return suspect is not None and not suspect.refused and may_crash_targets(suspect)
 
-    def decide(self, now_s: float) -> Sequence[bytes]:
+    def refuse_proven_calls(self, now_s: float) -> Sequence[bytes]:
         """Refuse each call whose evidence is complete and sufficient; return the refused calls.
 
         A call that stays undecided is evaluated again when it is sent or a new report arrives.
@@ -162,34 +167,37 @@
         suspect = self.suspects.get(digest)
         return suspect is None or not self._is_settling(suspect, now_s)
 
-    def forget(self, now_s: float) -> Sequence[bytes]:
+    def remove_expired(self, now_s: float) -> Sequence[bytes]:
         """Remove expired entries; return the calls that were removed."""
         expired = [
             digest for digest, suspect in self.suspects.items() if _is_expired(suspect, now_s)
         ]
         for digest in expired:
             del self.suspects[digest]
-        while self.ended_targets:
-            target, at_s = next(iter(self.ended_targets.items()))
-            if now_s - at_s <= ENDED_TARGET_TTL_S:
+        while self.crashed_targets:
+            target, at_s = next(iter(self.crashed_targets.items()))
+            if now_s - at_s <= CRASHED_TARGET_TTL_S:
                 break
-            del self.ended_targets[target]
+            del self.crashed_targets[target]
         return expired
 
     def _is_settling(self, suspect: Suspect, now_s: float) -> bool:
-        return now_s - suspect.last_end_s() < SETTLE_S
+        return now_s - suspect.last_crash_s() < SETTLE_S
 
     def _refuse_if_proven(self, suspect: Suspect) -> bool:
         suspect.refused = crashes_targets(suspect, self.suspects.values(), self._is_isolated)
         return suspect.refused
 
-    def _is_isolated(self, suspect: Suspect, ends: Sequence[RunEnd]) -> bool:
-        """Whether no target crashed without the call at about the times of some of its crashes."""
-        times_s = [end.ended_s for end in ends]
+    def _is_isolated(self, suspect: Suspect, runs: Sequence[CrashedRun]) -> bool:
+        """Whether no target that didn't run the call crashed at about the time of any of ``runs``.
+
+        ``runs`` are crashed runs of the call.
+        """
+        times_s = [run.ended_s for run in runs]
         return not any(
-            target not in suspect.ends
+            target not in suspect.crashed_runs
             and any(abs(at_s - s) <= COMMON_CAUSE_WINDOW_S for s in times_s)
-            for target, at_s in self.ended_targets.items()
+            for target, at_s in self.crashed_targets.items()
         )
 
     def _get_or_add(self, digest: bytes) -> Suspect:
@@ -203,7 +211,8 @@
     def _evict(self) -> None:
         """Evict the calls with the least evidence, the oldest first among equals."""
         ranked = sorted(
-            self.suspects, key=lambda m: (self.suspects[m].refused, len(self.suspects[m].ends))
+            self.suspects,
+            key=lambda m: (self.suspects[m].refused, len(self.suspects[m].crashed_runs)),
         )
         for digest in ranked[:EVICTION_BATCH]:
             del self.suspects[digest]
@@ -212,6 +221,6 @@
 def _is_expired(suspect: Suspect, now_s: float) -> bool:
     if suspect.refused:
         return now_s - suspect.seen_at_s > REFUSED_TTL_S
-    if suspect.ends:
+    if suspect.crashed_runs:
         return now_s - suspect.seen_at_s > SUSPECT_TTL_S
     return now_s - suspect.answered_s > ANSWER_TTL_S
--- a/samphirecleat/crashes/_news.py
+++ b/samphirecleat/crashes/_news.py
@@ -1,7 +1,7 @@
 """Spreads reports of crashes among the nodes, on the datagrams of the heartbeats.
 
-Each node sends a report that is new to it a bounded number of times, and a datagram carries only a
-few reports: under load, reports are delayed but datagrams stay small.
+Each node passes a report that is new to it on a bounded number of times. A datagram carries only a
+few reports, so many crashes at once delay the reports but don't enlarge the datagrams.
 
 Pure: performs no I/O and uses no clock.
 """
@@ -13,7 +13,7 @@
 
 from ..peers import CrashRow, Message
 from ._ledger import CrashLedger
-from ._suspect import MIN_ENDS_TO_REFUSE, RunEnd
+from ._suspect import MIN_CRASHES_TO_REFUSE, CrashedRun
 
 ROWS_PER_MESSAGE: Final = 4
 MAX_PENDING: Final = 512
@@ -24,7 +24,7 @@
 
 
 class CrashGossip:
-    """Outgoing and incoming reports; a rider of the membership datagrams."""
+    """Adds reports to outgoing membership datagrams and applies those of incoming ones."""
 
     def __init__(self, ledger: CrashLedger, node_count: Callable[[], int]) -> None:
         """Send reports from ``ledger`` and add received ones to it."""
@@ -34,15 +34,15 @@
 
     def announce(self, digest: bytes, target: str = ANSWERED) -> None:
         """Queue a report of a crashed run or of an answer for the next datagrams."""
-        # If each node sends a report c times to random nodes, it misses a fraction exp(-c) of them.
+        # If each node sends a report c times to random nodes, a fraction exp(-c) never receives it.
         self._pending[digest, target] = 4 + math.ceil(math.log2(self._node_count() + 2) / 2)
         while len(self._pending) > MAX_PENDING:
             self._pending.popitem(last=False)
 
-    def announce_end(self, digest: bytes, target: str, now_s: float) -> None:
+    def announce_crash(self, digest: bytes, target: str, now_s: float) -> None:
         """Queue a report of a crashed run, along with any remembered answer to the call."""
         self.announce(digest, target)
-        if self._ledger.recall_answer(digest, now_s):
+        if self._ledger.apply_remembered_answer(digest, now_s):
             self.announce(digest)
 
     def add_updates(self, message: Message, now_s: float) -> Message:
@@ -64,17 +64,17 @@
         for row in message.crashes:
             ended_s = now_s - row.ended_age_ms / 1000.0
             if row.digest == NO_CALL:
-                if self._ledger.note_ended_target(row.target, ended_s, now_s):
+                if self._ledger.record_crashed_target(row.target, ended_s, now_s):
                     self.announce(NO_CALL, row.target)
                 continue
             if row.target == ANSWERED:
-                if self._ledger.note_answer(row.digest, ended_s):
+                if self._ledger.record_answer(row.digest, ended_s):
                     self.announce(row.digest)
                 continue
             begun_s = now_s - row.begun_age_ms / 1000.0
-            end = RunEnd(row.target, begun_s, ended_s, row.node)
-            if self._ledger.note_end(row.digest, end, now_s):
-                self.announce_end(row.digest, row.target, now_s)
+            run = CrashedRun(row.target, begun_s, ended_s, row.node)
+            if self._ledger.record_crash(row.digest, run, now_s):
+                self.announce_crash(row.digest, row.target, now_s)
 
     def _next_reports(self) -> list[tuple[bytes, str]]:
         """Return the next reports: calls with the most crashes first, then the least sent ones."""
@@ -82,16 +82,18 @@
 
         def rank(key: tuple[bytes, str]) -> tuple[int, int]:
             suspect = suspects.get(key[0])
-            # Reports that clear calls precede those against all but the worst suspects.
-            ends = len(suspect.ends) if suspect is not None else MIN_ENDS_TO_REFUSE - 1
-            return (-ends, -self._pending[key])
+            # A report without a known call follows only those on calls that may be refused.
+            crash_count = (
+                len(suspect.crashed_runs) if suspect is not None else MIN_CRASHES_TO_REFUSE - 1
+            )
+            return (-crash_count, -self._pending[key])
 
         return sorted(self._pending, key=rank)[:ROWS_PER_MESSAGE]
 
     def _row(self, digest: bytes, target: str, now_s: float) -> CrashRow | None:
         """Return the row of a report, None if the report is obsolete."""
         if digest == NO_CALL:
-            ended_s = self._ledger.ended_targets.get(target)
+            ended_s = self._ledger.crashed_targets.get(target)
             if ended_s is None:
                 return None
             age_ms = _age_ms(ended_s, now_s)
@@ -102,11 +104,11 @@
         if target == ANSWERED:
             age_ms = _age_ms(suspect.answered_s, now_s)
             return CrashRow(digest, ANSWERED, "", age_ms, age_ms)
-        end = suspect.ends.get(target)
-        if end is None:
+        run = suspect.crashed_runs.get(target)
+        if run is None:
             return None
-        begun_ms, ended_ms = _age_ms(end.begun_s, now_s), _age_ms(end.ended_s, now_s)
-        return CrashRow(digest, target, end.node, begun_ms, ended_ms)
+        begun_ms, ended_ms = _age_ms(run.begun_s, now_s), _age_ms(run.ended_s, now_s)
+        return CrashRow(digest, target, run.node, begun_ms, ended_ms)
 
 
 def _age_ms(at_s: float, now_s: float) -> int:
--- a/tests/serving/test_crash_watch.py
+++ b/tests/serving/test_crash_watch.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from samphirecleat.crashes import SETTLE_S, CrashLedger, RegistrationState, RunEnd
+from samphirecleat.crashes import SETTLE_S, CrashedRun, CrashLedger, RegistrationState
 from samphirecleat.errors import ErrorKind, Ran, RequestError
 from samphirecleat.serving import (
     Call,
@@ -34,7 +34,7 @@
 
 
 class CrashingChannel:
-    """Targets that answer after ``answer_delay_s`` and crash on calls to ``/ends``."""
+    """Targets that answer after ``answer_delay_s`` and crash on calls to ``/crash``."""
 
     def __init__(self) -> None:
         self.answer_delay_s = 0.0
@@ -44,7 +44,7 @@
         del budget_s
         self.asked.append((call.raw_path, target.instance))
         await asyncio.sleep(self.answer_delay_s)
-        if call.raw_path == "/ends":
+        if call.raw_path == "/crash":
             raise TargetFault("reset", Ran.UNKNOWN, cut=True)
         return OK
 
@@ -72,7 +72,7 @@
         )
 
     async def _listens(self, address: str) -> bool:
-        return address.partition(":")[0] not in self.channel.asked_for("/ends")
+        return address.partition(":")[0] not in self.channel.asked_for("/crash")
 
     def call(self, raw_path: str, request_id: str = "id") -> Call:
         now_s = asyncio.get_running_loop().time()
@@ -84,8 +84,8 @@
     def suspect(self, raw_path: str, *targets: str) -> None:
         now_s = asyncio.get_running_loop().time()
         for target in targets:
-            end = RunEnd(target, now_s - 0.2, now_s - 0.1, "other")
-            self.ledger.note_end(call_digest(self.call(raw_path)), end, now_s)
+            end = CrashedRun(target, now_s - 0.2, now_s - 0.1, "other")
+            self.ledger.record_crash(call_digest(self.call(raw_path)), end, now_s)
 
 
 def run_with_fixture(body: Callable[[ForwarderFixture], Awaitable[None]]) -> None:
@@ -99,16 +99,16 @@
     async def body(fixture: ForwarderFixture) -> None:
         for number in range(2):
             with pytest.raises(RequestError) as raised:
-                await fixture.forward("/ends", f"id-{number}")
+                await fixture.forward("/crash", f"id-{number}")
             assert raised.value.ran is Ran.UNKNOWN
         assert len(fixture.channel.asked) == 3
         with pytest.raises(RequestError) as raised:
-            await fixture.forward("/ends", "held")
+            await fixture.forward("/crash", "held")
         assert (raised.value.kind, raised.value.ran) == (ErrorKind.CRASH_SUSPECTED, Ran.NO)
         assert raised.value.retry_after_s > 0.0
         await asyncio.sleep(SETTLE_S + 0.05)
         with pytest.raises(RequestError) as raised:
-            await fixture.forward("/ends", "refused")
+            await fixture.forward("/crash", "refused")
         assert (raised.value.kind, raised.value.ran) == (ErrorKind.CRASHES_TARGETS, Ran.UNKNOWN)
         assert raised.value.retry_after_s == 0.0
         assert len(fixture.channel.asked) == 3
@@ -141,8 +141,8 @@
         calls = ["/suspect", "/another", *(f"/{number}" for number in range(12))]
         await asyncio.gather(*(fixture.forward(path, path) for path in calls))
         runs = {path: fixture.channel.asked_for(path)[0] for path in calls}
-        beside = [path for path in calls[1:] if runs[path] == runs["/suspect"]]
-        assert beside == []
+        sharing_target = [path for path in calls[1:] if runs[path] == runs["/suspect"]]
+        assert sharing_target == []
         assert not +fixture.table.suspect_runs
 
     run_with_fixture(body)
@@ -152,7 +152,7 @@
     async def body(fixture: ForwarderFixture) -> None:
         fixture.suspect("/x", "gone", "gone too")
         assert await fixture.forward("/x") == OK
-        assert not fixture.ledger.suspects[call_digest(fixture.call("/x"))].ends
+        assert not fixture.ledger.suspects[call_digest(fixture.call("/x"))].crashed_runs
 
     run_with_fixture(body)
 
