--- a/samphirecleat/bench/_blame.py
+++ b/samphirecleat/bench/_blame.py
@@ -1,9 +1,9 @@
-"""Bench of blame: an hour of failures in which no request ends its targets, and who is refused.
+"""Bench of crash attribution: false refusals during an hour of unrelated target failures.
 
-Pure replay: callers' calls, some of them the same request over and over, at targets that crash one
-by one, by availability zones, and all together within a second. A call whose target ends is tried
-again at another one, which may be the next to go. Compared are rules that say which calls are to
-blame; whatever they refuse is refused wrongly.
+A discrete-event simulation. Callers send requests, some of them repeatedly, to targets that crash
+singly, by availability zone, and all together within a second. A call whose target ends is retried
+at another target, which may fail next. No request causes a crash, so every refusal is a false
+positive. The first row is the product's ledger; the others only count ends.
 """
 
 import random
@@ -17,213 +17,219 @@
 
 DEFAULT_SEED: Final = 31
 REPEATS: Final = 3
-HOUR_S: Final = 3600.0
+DURATION_S: Final = 3600.0
 CALLS_PER_S: Final = 60.0
-# Of the calls, those of a few requests that come all the time.
+# Share of calls that repeat one of ``POPULAR_REQUESTS`` requests.
 POPULAR_SHARE: Final = 0.3
-POPULAR: Final = 5
-RUN_S: Final = (0.02, 0.15)
-ATTEMPTS: Final = 2
-CLIENT_AGAIN_S: Final = (0.01, 0.3)
-SENDINGS: Final = 3
-TARGETS: Final = 12
-ZONES: Final = 3
-BACK_AFTER_S: Final = 3.0
-# One crash, the loss of a zone, and of all targets: on average this far apart. What goes together
-# goes within so long.
-CRASH_EVERY_S: Final = 8.0
-ZONE_EVERY_S: Final = 60.0
-ALL_EVERY_S: Final = 120.0
-TOGETHER_S: Final = 1.0
-OTHERS_LOOKED_AT: Final = 3
-KEEP_HOUSE_S: Final = 1.0
-
-
-class Blame(NamedTuple):
-    """A rule: whether a call is refused, by the ledger, its mark, and the time."""
+POPULAR_REQUESTS: Final = 5
+RUN_DURATION_S: Final = (0.02, 0.15)
+ATTEMPTS_PER_SEND: Final = 2
+CLIENT_RETRY_DELAY_S: Final = (0.01, 0.3)
+SENDS_PER_CALL: Final = 3
+TARGET_COUNT: Final = 12
+ZONE_COUNT: Final = 3
+RESTART_S: Final = 3.0
+# Mean times between single crashes, zone losses and losses of all targets. The targets of one loss
+# end within ``CORRELATED_LOSS_S`` of each other.
+CRASH_INTERVAL_S: Final = 8.0
+ZONE_LOSS_INTERVAL_S: Final = 60.0
+TOTAL_LOSS_INTERVAL_S: Final = 120.0
+CORRELATED_LOSS_S: Final = 1.0
+TARGETS_CHECKED: Final = 3
+MAINTENANCE_INTERVAL_S: Final = 1.0
+
+
+class RefusalRule(NamedTuple):
+    """Decides whether to refuse a call from the ledger, the call's digest and the time."""
 
     name: str
-    refuses: Callable[[CrashLedger, bytes, float], bool]
+    should_refuse: Callable[[CrashLedger, bytes, float], bool]
 
 
-def _by_ledger(ledger: CrashLedger, mark: bytes, now_s: float) -> bool:
-    return ledger.verdict(mark, now_s) is CrashVerdict.REFUSED
+def _refuse_by_ledger(ledger: CrashLedger, digest: bytes, now_s: float) -> bool:
+    return ledger.verdict(digest, now_s) is CrashVerdict.REFUSED
 
 
-def _by_count(ledger: CrashLedger, mark: bytes, now_s: float) -> bool:
+def _refuse_by_count(ledger: CrashLedger, digest: bytes, now_s: float) -> bool:
     del now_s
-    suspect = ledger.suspects.get(mark)
+    suspect = ledger.suspects.get(digest)
     return suspect is not None and len(suspect.ends) >= MIN_ENDS_TO_REFUSE
 
 
-def _by_count_later(ledger: CrashLedger, mark: bytes, now_s: float) -> bool:
-    """Refuse after three ends without an answer that followed them closely."""
-    suspect = ledger.suspects.get(mark)
-    if suspect is None or now_s - suspect.last_end_s() < KEEP_HOUSE_S:
+def _refuse_by_count_after_pause(ledger: CrashLedger, digest: bytes, now_s: float) -> bool:
+    """Refuse by count, but only once no end came for a while, so that an answer may come first."""
+    suspect = ledger.suspects.get(digest)
+    if suspect is None or now_s - suspect.last_end_s() < MAINTENANCE_INTERVAL_S:
         return False
     return len(suspect.ends) >= MIN_ENDS_TO_REFUSE
 
 
 RULES: Final = (
-    Blame("the ledger", _by_ledger),
-    Blame("three ends", _by_count),
-    Blame("three ends, a second later", _by_count_later),
+    RefusalRule("the ledger", _refuse_by_ledger),
+    RefusalRule("three ends", _refuse_by_count),
+    RefusalRule("three ends, a second later", _refuse_by_count_after_pause),
 )
 
 
 class BlameReplay:
-    """One hour under one rule; all nodes share what they know at once."""
+    """Simulates ``DURATION_S`` under one rule; one ledger stands for all nodes."""
 
-    def __init__(self, rule: Blame, seed: int) -> None:
-        """Draw calls and crashes from ``seed``, the same for every rule."""
+    def __init__(self, rule: RefusalRule, seed: int) -> None:
+        """Draw the same calls and crashes from ``seed`` for every rule."""
         self._rule = rule
         self._rng = random.Random(seed)
         self._faults = random.Random(seed + 1)
         self._ledger = CrashLedger()
-        self._starts = [1] * TARGETS
-        self._up = [True] * TARGETS
-        self._running: list[dict[int, Callable[[float], None]]] = [{} for _ in range(TARGETS)]
+        self._start_counts = [1] * TARGET_COUNT
+        self._is_up = [True] * TARGET_COUNT
+        self._running: list[dict[int, Callable[[float], None]]] = [{} for _ in range(TARGET_COUNT)]
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
-        self._number = 0
+        self._sequence = 0
         self._calls = 0
-        self._cut = 0
-        self._held = 0
-        self._refused: set[bytes] = set()
-        self._refusals = 0
+        self._runs_ended = 0
+        self._sends_held = 0
+        self._refused_digests: set[bytes] = set()
+        self._sends_refused = 0
 
     def run(self) -> Mapping[str, float]:
-        """Return how many calls there were, lost a target, were held, and were refused."""
-        self._at(0.0, self._call)
-        self._later(CRASH_EVERY_S, self._crash_one)
-        self._later(ZONE_EVERY_S, self._lose_zone)
-        self._later(ALL_EVERY_S, self._lose_all)
-        self._at(KEEP_HOUSE_S, self._keep_house)
+        """Run the simulation; return counts of calls, ended runs, held and refused sends."""
+        self._schedule(0.0, self._arrive)
+        self._schedule_repeating(CRASH_INTERVAL_S, self._crash_target)
+        self._schedule_repeating(ZONE_LOSS_INTERVAL_S, self._lose_zone_targets)
+        self._schedule_repeating(TOTAL_LOSS_INTERVAL_S, self._lose_all_targets)
+        self._schedule(MAINTENANCE_INTERVAL_S, self._maintain_ledger)
         while self._events:
-            at_s, _number, act = heappop(self._events)
-            if at_s > HOUR_S:
+            at_s, _sequence, action = heappop(self._events)
+            if at_s > DURATION_S:
                 break
-            act(at_s)
+            action(at_s)
         return {
             "calls": self._calls,
-            "runs_ended": self._cut,
-            "sendings_held": self._held,
-            "requests_refused": len(self._refused),
-            "sendings_refused": self._refusals,
+            "runs_ended": self._runs_ended,
+            "sendings_held": self._sends_held,
+            "requests_refused": len(self._refused_digests),
+            "sendings_refused": self._sends_refused,
         }
 
-    def _at(self, at_s: float, act: Callable[[float], None]) -> None:
-        self._number += 1
-        heappush(self._events, (at_s, self._number, act))
+    def _schedule(self, at_s: float, action: Callable[[float], None]) -> None:
+        self._sequence += 1
+        heappush(self._events, (at_s, self._sequence, action))
 
-    def _later(self, every_s: float, act: Callable[[float], None], now_s: float = 0.0) -> None:
-        def again(at_s: float) -> None:
-            act(at_s)
-            self._later(every_s, act, at_s)
+    def _schedule_repeating(
+        self, mean_interval_s: float, action: Callable[[float], None], now_s: float = 0.0
+    ) -> None:
+        def run_and_reschedule(at_s: float) -> None:
+            action(at_s)
+            self._schedule_repeating(mean_interval_s, action, at_s)
 
-        self._at(now_s + self._faults.expovariate(1.0 / every_s), again)
+        self._schedule(now_s + self._faults.expovariate(1.0 / mean_interval_s), run_and_reschedule)
 
-    def _call(self, now_s: float) -> None:
-        self._at(now_s + self._rng.expovariate(CALLS_PER_S), self._call)
+    def _arrive(self, now_s: float) -> None:
+        self._schedule(now_s + self._rng.expovariate(CALLS_PER_S), self._arrive)
         self._calls += 1
         popular = self._rng.random() < POPULAR_SHARE
-        name = self._rng.randrange(POPULAR) if popular else self._calls + POPULAR
-        self._send(b"%d" % name, now_s, SENDINGS)
-
-    def _send(self, mark: bytes, now_s: float, sendings: int) -> None:
-        if sendings:
-            self._attempt(mark, now_s, ATTEMPTS, sendings)
-
-    def _attempt(self, mark: bytes, now_s: float, attempts: int, sendings: int) -> None:
-        """Run a call at a target that is up, or have its client come back."""
-        up = [target for target in range(TARGETS) if self._up[target]]
-        if not attempts or not up or self._is_barred(mark, now_s):
-            pause_s = self._rng.uniform(*CLIENT_AGAIN_S)
-            self._at(now_s + pause_s, lambda at_s: self._send(mark, at_s, sendings - 1))
+        request = (
+            self._rng.randrange(POPULAR_REQUESTS) if popular else self._calls + POPULAR_REQUESTS
+        )
+        self._send(b"%d" % request, now_s, SENDS_PER_CALL)
+
+    def _send(self, digest: bytes, now_s: float, sends_left: int) -> None:
+        if sends_left:
+            self._attempt(digest, now_s, ATTEMPTS_PER_SEND, sends_left)
+
+    def _attempt(self, digest: bytes, now_s: float, attempts_left: int, sends_left: int) -> None:
+        """Run a call at a random target that is up, or let its client send it again later."""
+        up = [target for target in range(TARGET_COUNT) if self._is_up[target]]
+        if not attempts_left or not up or self._is_barred(digest, now_s):
+            pause_s = self._rng.uniform(*CLIENT_RETRY_DELAY_S)
+            self._schedule(now_s + pause_s, lambda at_s: self._send(digest, at_s, sends_left - 1))
             return
         target = self._rng.choice(up)
-        self._number += 1
-        run, start = self._number, f"{target}@{self._starts[target]}"
-
-        def cut(at_s: float) -> None:
-            self._cut += 1
-            self._ledger.note_end(mark, RunEnd(start, now_s, at_s, "n"), at_s)
-            self._ledger.recall_answer(mark, at_s)
-            if self._ledger.awaits_verdict(mark):
-                self._look_at_others(at_s)
-            self._attempt(mark, at_s, attempts - 1, sendings)
-
-        def answer(at_s: float) -> None:
+        self._sequence += 1
+        run, instance = self._sequence, f"{target}@{self._start_counts[target]}"
+
+        def end_run(at_s: float) -> None:
+            self._runs_ended += 1
+            self._ledger.note_end(digest, RunEnd(instance, now_s, at_s, "n"), at_s)
+            self._ledger.recall_answer(digest, at_s)
+            if self._ledger.awaits_verdict(digest):
+                self._check_other_targets(at_s)
+            self._attempt(digest, at_s, attempts_left - 1, sends_left)
+
+        def answer_call(at_s: float) -> None:
             if self._running[target].pop(run, None) is not None:
-                self._ledger.remember_answer(mark, at_s)
-                if mark in self._ledger.suspects:
-                    self._ledger.note_answer(mark, at_s)
+                self._ledger.remember_answer(digest, at_s)
+                if digest in self._ledger.suspects:
+                    self._ledger.note_answer(digest, at_s)
 
-        self._running[target][run] = cut
-        self._at(now_s + self._rng.uniform(*RUN_S), answer)
+        self._running[target][run] = end_run
+        self._schedule(now_s + self._rng.uniform(*RUN_DURATION_S), answer_call)
 
-    def _is_barred(self, mark: bytes, now_s: float) -> bool:
-        if self._rule.refuses(self._ledger, mark, now_s):
-            self._refused.add(mark)
-            self._refusals += 1
+    def _is_barred(self, digest: bytes, now_s: float) -> bool:
+        if self._rule.should_refuse(self._ledger, digest, now_s):
+            self._refused_digests.add(digest)
+            self._sends_refused += 1
             return True
         held = (
-            self._rule.refuses is _by_ledger
-            and self._ledger.verdict(mark, now_s) is CrashVerdict.HELD
+            self._rule.should_refuse is _refuse_by_ledger
+            and self._ledger.verdict(digest, now_s) is CrashVerdict.HELD
         )
-        self._held += held
+        self._sends_held += held
         return held
 
-    def _look_at_others(self, now_s: float) -> None:
-        for target in self._rng.sample(range(TARGETS), OTHERS_LOOKED_AT):
-            if not self._up[target]:
-                name = f"{target}@{self._starts[target]}"
-                self._ledger.note_ended_target(name, now_s, now_s)
+    def _check_other_targets(self, now_s: float) -> None:
+        for target in self._rng.sample(range(TARGET_COUNT), TARGETS_CHECKED):
+            if not self._is_up[target]:
+                instance = f"{target}@{self._start_counts[target]}"
+                self._ledger.note_ended_target(instance, now_s, now_s)
 
-    def _crash_one(self, now_s: float) -> None:
-        self._end(self._faults.randrange(TARGETS), now_s)
+    def _crash_target(self, now_s: float) -> None:
+        self._end_target(self._faults.randrange(TARGET_COUNT), now_s)
 
-    def _lose_zone(self, now_s: float) -> None:
-        zone = self._faults.randrange(ZONES)
-        self._lose([target for target in range(TARGETS) if target % ZONES == zone], now_s)
+    def _lose_zone_targets(self, now_s: float) -> None:
+        zone = self._faults.randrange(ZONE_COUNT)
+        self._end_targets(
+            [target for target in range(TARGET_COUNT) if target % ZONE_COUNT == zone], now_s
+        )
 
-    def _lose_all(self, now_s: float) -> None:
-        self._lose(range(TARGETS), now_s)
+    def _lose_all_targets(self, now_s: float) -> None:
+        self._end_targets(range(TARGET_COUNT), now_s)
 
-    def _lose(self, targets: Iterable[int], now_s: float) -> None:
-        within_s = self._faults.uniform(0.0, TOGETHER_S)
+    def _end_targets(self, targets: Iterable[int], now_s: float) -> None:
+        within_s = self._faults.uniform(0.0, CORRELATED_LOSS_S)
         for target in targets:
             at_s = now_s + self._faults.uniform(0.0, within_s)
-            self._at(at_s, partial(self._end, target))
+            self._schedule(at_s, partial(self._end_target, target))
 
-    def _end(self, target: int, now_s: float) -> None:
-        if not self._up[target]:
+    def _end_target(self, target: int, now_s: float) -> None:
+        if not self._is_up[target]:
             return
-        self._up[target] = False
-        cuts, self._running[target] = list(self._running[target].values()), {}
-        for cut in cuts:
-            cut(now_s)
-        self._at(now_s + BACK_AFTER_S, lambda _at_s: self._start(target))
+        self._is_up[target] = False
+        end_runs, self._running[target] = list(self._running[target].values()), {}
+        for end_run in end_runs:
+            end_run(now_s)
+        self._schedule(now_s + RESTART_S, lambda _at_s: self._restart_target(target))
 
-    def _start(self, target: int) -> None:
-        self._starts[target] += 1
-        self._up[target] = True
+    def _restart_target(self, target: int) -> None:
+        self._start_counts[target] += 1
+        self._is_up[target] = True
 
-    def _keep_house(self, now_s: float) -> None:
+    def _maintain_ledger(self, now_s: float) -> None:
         self._ledger.decide(now_s)
         self._ledger.forget(now_s)
-        self._at(now_s + KEEP_HOUSE_S, self._keep_house)
+        self._schedule(now_s + MAINTENANCE_INTERVAL_S, self._maintain_ledger)
 
 
 async def run(seed: int) -> BenchResult:
-    """Replay the hour under every rule."""
+    """Simulate the same failures under every rule."""
     note = (
-        f"an hour of {CALLS_PER_S:g} calls a second at {TARGETS} targets: a crash every "
-        f"{CRASH_EVERY_S:g} s, a zone every {ZONE_EVERY_S:g} s, all every {ALL_EVERY_S:g} s; no "
-        "request ends its targets"
+        f"an hour of {CALLS_PER_S:g} calls a second at {TARGET_COUNT} targets: a crash every "
+        f"{CRASH_INTERVAL_S:g} s, a zone every {ZONE_LOSS_INTERVAL_S:g} s, "
+        f"all every {TOTAL_LOSS_INTERVAL_S:g} s; no request ends its targets"
     )
     return BenchResult("blame", seed, [_row(rule, seed) for rule in RULES], note)
 
 
-def _row(rule: Blame, seed: int) -> BenchRow:
+def _row(rule: RefusalRule, seed: int) -> BenchRow:
     runs = [BlameReplay(rule, seed + repeat).run() for repeat in range(REPEATS)]
     return average_runs(rule.name, runs)
--- a/samphirecleat/bench/_crashes.py
+++ b/samphirecleat/bench/_crashes.py
@@ -1,9 +1,9 @@
-"""Bench of a request that ends its targets: ways in which nodes can hear of it from each other.
+"""Bench of a request that crashes its targets: ways to share the evidence between nodes.
 
-Pure replay: one request ends each target that runs it and comes back every few seconds, with a new
-id, at nodes drawn at random; its client tries again once. Ends are told on heartbeats, written to
-the log, asked of all peers before a second attempt, or kept by each node for itself. The ledger
-and the news are the product's own.
+A discrete-event simulation. One request ends each target that runs it and comes back every few
+seconds, with a new id, at nodes drawn at random; its client retries once. Ends are sent on
+heartbeats, written to the log, asked of all peers before a second attempt, or kept by each node
+for itself. The ledger and the gossip are the product's code; network and store are simulated.
 """
 
 import math
@@ -22,242 +22,253 @@
 from ._harness import BenchResult, BenchRow, average_runs
 
 DEFAULT_SEED: Final = 29
-FLEETS: Final = (9, 64, 195, 390)
+FLEET_SIZES: Final = (9, 64, 195, 390)
 REPEATS: Final = 5
-# The request: it ends a target so long after it began, at most so many for a sending, and its
-# client's second sending follows so soon.
-RUN_S: Final = 0.08
-ATTEMPTS: Final = 2
-AGAIN_S: Final = 0.05
-COMES_BACK_S: Final = 5.0
+# The request ends a target ``RUN_DURATION_S`` after its run began, at most ``ATTEMPTS_PER_SEND``
+# targets for each send; its client sends it a second time after ``CLIENT_RETRY_DELAY_S``.
+RUN_DURATION_S: Final = 0.08
+ATTEMPTS_PER_SEND: Final = 2
+CLIENT_RETRY_DELAY_S: Final = 0.05
+ARRIVAL_INTERVAL_S: Final = 5.0
 ARRIVALS: Final = 5
-# All nodes in touch may take so long to know of the third end.
-TOUCH_S: Final = 3.0
+# Within this time all connected nodes have to know of the third end.
+SPREAD_LIMIT_S: Final = 3.0
 HEARTBEAT_S: Final = 0.15
-PROBES: Final = 3
-LOST_DATAGRAMS: Final = 0.01
-DATAGRAM_S: Final = (0.0002, 0.025)
-# An append or a read of the store, and what a question to a peer costs.
-STORE_S: Final = 0.004
+PROBES_PER_HEARTBEAT: Final = 3
+DATAGRAM_LOSS_SHARE: Final = 0.01
+DATAGRAM_DELAY_S: Final = (0.0002, 0.025)
+# Duration of an append to or a read of the log; size of a question to a peer and of its answer.
+LOG_CALL_S: Final = 0.004
 QUESTION_BYTES: Final = 120
-LOOK_S: Final = 0.01
-LENGTH_S: Final = ARRIVALS * COMES_BACK_S
+CHECK_INTERVAL_S: Final = 0.01
+DURATION_S: Final = ARRIVALS * ARRIVAL_INTERVAL_S
 
-_ROW = Member("node-000", "00000000", 0, "z", "10.0.0.1:1", "10.0.0.1:2", 0, False, True, 0, 0, 0)
-_EMPTY = Message(MessageKind.PING, 0, "", 1, [MemberRow(_ROW, 0)])
-# Requests that come at the same times.
-TOGETHER: Final = 2
+_MEMBER = Member(
+    "node-000", "00000000", 0, "z", "10.0.0.1:1", "10.0.0.1:2", 0, False, True, 0, 0, 0
+)
+_BARE_MESSAGE = Message(MessageKind.PING, 0, "", 1, [MemberRow(_MEMBER, 0)])
+# Number of requests that arrive at the same times in the last rows.
+SIMULTANEOUS_REQUESTS: Final = 2
 
 
 class _Node:
     def __init__(self, count: int) -> None:
         self.ledger = CrashLedger()
-        self.news = CrashGossip(self.ledger, lambda: count)
+        self.gossip = CrashGossip(self.ledger, lambda: count)
+
 
+class Variant(NamedTuple):
+    """How nodes learn of the ends that other nodes saw.
 
-class Way(NamedTuple):
-    """How nodes hear of an end, beside keeping their own; 0 for ``log_from`` is no log."""
+    ``log_from`` is the number of ends of a request from which they are written to the log; 0 means
+    that nothing is written.
+    """
 
     name: str
     heartbeats: bool = False
     log_from: int = 0
-    asks: bool = False
+    asks_peers: bool = False
 
 
-WAYS: Final = (
-    Way("heartbeats and log", heartbeats=True, log_from=MIN_RECORDED_ENDS),
-    Way("heartbeats", heartbeats=True),
-    Way("log", log_from=1),
-    Way("asking peers", asks=True),
-    Way("own ends only"),
+VARIANTS: Final = (
+    Variant("heartbeats and log", heartbeats=True, log_from=MIN_RECORDED_ENDS),
+    Variant("heartbeats", heartbeats=True),
+    Variant("log", log_from=1),
+    Variant("asking peers", asks_peers=True),
+    Variant("own ends only"),
 )
 
 
 class CrashReplay:
-    """One fleet and one request."""
+    """Simulates one fleet and the requests that crash its targets."""
 
-    def __init__(self, way: Way, count: int, seed: int, requests: int = 1) -> None:
-        """Draw arrivals and the network from ``seed``, the same for every way.
+    def __init__(self, variant: Variant, count: int, seed: int, requests: int = 1) -> None:
+        """Draw the same arrivals and network delays from ``seed`` for every variant.
 
-        So many ``requests`` that end their targets come at the same times.
+        ``requests`` is the number of requests that arrive at the same times.
         """
-        self._way = way
+        self._variant = variant
         self._count = count
         self._rng = random.Random(seed)
         self._network = random.Random(seed + 1)
         self._nodes = [_Node(count) for _ in range(count)]
         self._codec = HeartbeatCodec("bench")
-        self._plain_bytes = len(self._codec.pack(_EMPTY))
+        self._bare_bytes = len(self._codec.pack(_BARE_MESSAGE))
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
-        self._number = 0
-        self._marks = [bytes([number]) * DIGEST_BYTES for number in range(requests)]
-        self._ends: dict[bytes, list[float]] = {mark: [] for mark in self._marks}
-        self._known_s = math.inf
-        self._next_look_s = 0.0
+        self._sequence = 0
+        self._digests = [bytes([number]) * DIGEST_BYTES for number in range(requests)]
+        self._end_times_s: dict[bytes, list[float]] = {digest: [] for digest in self._digests}
+        self._all_known_at_s = math.inf
+        self._next_check_s = 0.0
         self._peer_bytes: dict[int, int] = {}
-        self._store_calls = 0
+        self._log_calls = 0
         self._questions = 0
 
     def run(self) -> Mapping[str, float]:
-        """Return how long nodes take to know, what the request still ends, and what that costs."""
+        """Run the simulation; return the time until all nodes know, the ends, and the costs."""
         for arrival in range(ARRIVALS):
-            for mark in self._marks:
-                self._at(arrival * COMES_BACK_S, partial(self._arrive, mark))
-        if self._way.heartbeats:
+            for digest in self._digests:
+                self._schedule(arrival * ARRIVAL_INTERVAL_S, partial(self._arrive, digest))
+        if self._variant.heartbeats:
             for number in range(self._count):
-                self._at(self._network.uniform(0.0, HEARTBEAT_S), self._beat_of(number))
+                self._schedule(self._network.uniform(0.0, HEARTBEAT_S), self._heartbeat_of(number))
         while self._events:
-            at_s, _number, act = heappop(self._events)
-            if at_s > LENGTH_S:
+            at_s, _sequence, action = heappop(self._events)
+            if at_s > DURATION_S:
                 break
-            act(at_s)
-            if at_s >= self._next_look_s and len(self._ends[self._marks[0]]) >= MIN_ENDS_TO_REFUSE:
-                self._look_who_knows(at_s)
-        third_s = self._ends[self._marks[0]][MIN_ENDS_TO_REFUSE - 1]
+            action(at_s)
+            if (
+                at_s >= self._next_check_s
+                and len(self._end_times_s[self._digests[0]]) >= MIN_ENDS_TO_REFUSE
+            ):
+                self._check_all_know(at_s)
+        third_s = self._end_times_s[self._digests[0]][MIN_ENDS_TO_REFUSE - 1]
         peak = max(self._peer_bytes.values(), default=0) / self._count
         return {
-            "all_know_s": min(LENGTH_S, self._known_s - third_s),
-            "ends": max(len(ends) for ends in self._ends.values()),
-            "sent_on": max(_sent_on(ends) for ends in self._ends.values()),
+            "all_know_s": min(DURATION_S, self._all_known_at_s - third_s),
+            "ends": max(len(ends) for ends in self._end_times_s.values()),
+            "sent_on": max(_count_sent_on(ends) for ends in self._end_times_s.values()),
             "peak_bytes_per_node_s": peak,
-            "store_calls": self._store_calls,
+            "store_calls": self._log_calls,
             "questions": self._questions,
         }
 
-    def _at(self, at_s: float, act: Callable[[float], None]) -> None:
-        self._number += 1
-        heappush(self._events, (at_s, self._number, act))
+    def _schedule(self, at_s: float, action: Callable[[float], None]) -> None:
+        self._sequence += 1
+        heappush(self._events, (at_s, self._sequence, action))
 
-    def _arrive(self, mark: bytes, at_s: float) -> None:
+    def _arrive(self, digest: bytes, at_s: float) -> None:
         first, second = self._rng.sample(range(self._count), 2)
 
-        def again(end_s: float) -> None:
-            self._send(mark, second, end_s + AGAIN_S, ATTEMPTS)
+        def send_again(end_s: float) -> None:
+            self._send(digest, second, end_s + CLIENT_RETRY_DELAY_S, ATTEMPTS_PER_SEND)
 
-        self._send(mark, first, at_s, ATTEMPTS, again)
+        self._send(digest, first, at_s, ATTEMPTS_PER_SEND, send_again)
 
     def _send(
         self,
-        mark: bytes,
+        digest: bytes,
         number: int,
         at_s: float,
-        attempts: int,
-        after: Callable[[float], None] | None = None,
+        attempts_left: int,
+        on_done: Callable[[float], None] | None = None,
     ) -> None:
-        """Have a node run the request at one target, and then at the next."""
+        """Let a node run the request at one target after another until its attempts are used."""
 
-        def begin(now_s: float) -> None:
-            if attempts == 0 or self._nodes[number].ledger.verdict(mark, now_s) in (
+        def begin_run(now_s: float) -> None:
+            if attempts_left == 0 or self._nodes[number].ledger.verdict(digest, now_s) in (
                 CrashVerdict.HELD,
                 CrashVerdict.REFUSED,
             ):
-                if after is not None:
-                    after(now_s)
+                if on_done is not None:
+                    on_done(now_s)
                 return
-            self._at(now_s + RUN_S, lambda end_s: end(now_s, end_s))
+            self._schedule(now_s + RUN_DURATION_S, lambda end_s: end_run(now_s, end_s))
 
-        def end(begun_s: float, now_s: float) -> None:
-            ends = self._ends[mark]
+        def end_run(begun_s: float, now_s: float) -> None:
+            ends = self._end_times_s[digest]
             ends.append(now_s)
-            name = f"t{mark[0]}.{len(ends)}@0"
-            self._see(mark, number, RunEnd(name, begun_s, now_s, f"n{number}"))
-            wait_s = self._ask(mark, number, now_s) if self._way.asks else 0.0
-            self._send(mark, number, now_s + wait_s, attempts - 1, after)
+            target = f"t{digest[0]}.{len(ends)}@0"
+            self._observe_end(digest, number, RunEnd(target, begun_s, now_s, f"n{number}"))
+            wait_s = self._ask_peers(digest, number, now_s) if self._variant.asks_peers else 0.0
+            self._send(digest, number, now_s + wait_s, attempts_left - 1, on_done)
 
-        self._at(at_s, begin)
+        self._schedule(at_s, begin_run)
 
-    def _see(self, mark: bytes, number: int, end: RunEnd) -> None:
+    def _observe_end(self, digest: bytes, number: int, end: RunEnd) -> None:
         node = self._nodes[number]
-        node.ledger.note_end(mark, end, end.ended_s)
-        node.news.announce_end(mark, end.target, end.ended_s)
-        ends = list(node.ledger.suspects[mark].ends.values())
-        if 0 < self._way.log_from <= len(ends):
-            self._store_calls += 1
+        node.ledger.note_end(digest, end, end.ended_s)
+        node.gossip.announce_end(digest, end.target, end.ended_s)
+        ends = list(node.ledger.suspects[digest].ends.values())
+        if 0 < self._variant.log_from <= len(ends):
+            self._log_calls += 1
             pause_s = reading_pause_s(self._count, runs_work=False)
             for other in self._nodes:
-                self._store_calls += 1
-                heard_s = end.ended_s + 2.0 * STORE_S + self._network.uniform(0.0, pause_s)
-                self._at(heard_s, self._hear_of(other, mark, ends))
-
-    def _hear_of(self, node: _Node, mark: bytes, ends: Sequence[RunEnd]) -> Callable[[float], None]:
-        def hear(now_s: float) -> None:
+                self._log_calls += 1
+                heard_s = end.ended_s + 2.0 * LOG_CALL_S + self._network.uniform(0.0, pause_s)
+                self._schedule(heard_s, self._note_ends_at(other, digest, ends))
+
+    def _note_ends_at(
+        self, node: _Node, digest: bytes, ends: Sequence[RunEnd]
+    ) -> Callable[[float], None]:
+        def note_ends(now_s: float) -> None:
             for end in ends:
-                node.ledger.note_end(mark, end, now_s)
+                node.ledger.note_end(digest, end, now_s)
 
-        return hear
+        return note_ends
 
-    def _ask(self, mark: bytes, number: int, at_s: float) -> float:
-        """Ask every peer what it has seen; return how long the slowest answer takes."""
+    def _ask_peers(self, digest: bytes, number: int, at_s: float) -> float:
+        """Ask every peer for its ends; return the delay in seconds until the slowest answer."""
         node = self._nodes[number]
         self._questions += self._count - 1
         self._count_bytes(at_s, 2 * QUESTION_BYTES * (self._count - 1))
         for other in self._nodes:
-            suspect = other.ledger.suspects.get(mark)
+            suspect = other.ledger.suspects.get(digest)
             for end in suspect.ends.values() if suspect is not None else ():
-                node.ledger.note_end(mark, end, at_s)
-        return 2.0 * max(self._network.uniform(*DATAGRAM_S) for _ in range(self._count))
+                node.ledger.note_end(digest, end, at_s)
+        return 2.0 * max(self._network.uniform(*DATAGRAM_DELAY_S) for _ in range(self._count))
 
-    def _beat_of(self, number: int) -> Callable[[float], None]:
-        def beat(now_s: float) -> None:
-            for _probe in range(PROBES):
+    def _heartbeat_of(self, number: int) -> Callable[[float], None]:
+        def send_probes(now_s: float) -> None:
+            for _probe in range(PROBES_PER_HEARTBEAT):
                 other = self._network.randrange(self._count)
-                self._tell(number, other, now_s, answers=True)
-            self._at(now_s + HEARTBEAT_S, beat)
+                self._send_gossip(number, other, now_s, answers=True)
+            self._schedule(now_s + HEARTBEAT_S, send_probes)
 
-        return beat
+        return send_probes
 
-    def _tell(self, number: int, other: int, now_s: float, *, answers: bool) -> None:
-        message = self._nodes[number].news.add_updates(_EMPTY, now_s)
+    def _send_gossip(self, number: int, other: int, now_s: float, *, answers: bool) -> None:
+        message = self._nodes[number].gossip.add_updates(_BARE_MESSAGE, now_s)
         if message.crashes:
-            self._count_bytes(now_s, len(self._codec.pack(message)) - self._plain_bytes)
-        if self._network.random() < LOST_DATAGRAMS:
+            self._count_bytes(now_s, len(self._codec.pack(message)) - self._bare_bytes)
+        if self._network.random() < DATAGRAM_LOSS_SHARE:
             return
 
         def arrive(at_s: float) -> None:
-            self._nodes[other].news.apply_updates(message, at_s)
+            self._nodes[other].gossip.apply_updates(message, at_s)
             if answers:
-                self._tell(other, number, at_s, answers=False)
+                self._send_gossip(other, number, at_s, answers=False)
 
-        self._at(now_s + self._network.uniform(*DATAGRAM_S), arrive)
+        self._schedule(now_s + self._network.uniform(*DATAGRAM_DELAY_S), arrive)
 
     def _count_bytes(self, at_s: float, count: int) -> None:
         second = int(at_s)
         self._peer_bytes[second] = self._peer_bytes.get(second, 0) + count
 
-    def _look_who_knows(self, now_s: float) -> None:
-        """Note the moment at which the last node holds the third end."""
-        self._next_look_s = now_s + LOOK_S
-        known = [node.ledger.suspects.get(self._marks[0]) for node in self._nodes]
+    def _check_all_know(self, now_s: float) -> None:
+        """Record the time at which every node knows the third end."""
+        self._next_check_s = now_s + CHECK_INTERVAL_S
+        suspects = [node.ledger.suspects.get(self._digests[0]) for node in self._nodes]
         if all(
-            suspect is not None and len(suspect.ends) >= MIN_ENDS_TO_REFUSE for suspect in known
+            suspect is not None and len(suspect.ends) >= MIN_ENDS_TO_REFUSE for suspect in suspects
         ):
-            self._known_s = now_s
-            self._next_look_s = math.inf
+            self._all_known_at_s = now_s
+            self._next_check_s = math.inf
         else:
-            self._at(self._next_look_s, lambda _now_s: None)
+            self._schedule(self._next_check_s, lambda _now_s: None)
 
 
-def _sent_on(ends_s: Sequence[float]) -> int:
-    """Return how many ends of a request began when all nodes could know of its third."""
+def _count_sent_on(ends_s: Sequence[float]) -> int:
+    """Count the ended runs that began more than ``SPREAD_LIMIT_S`` after the third end."""
     if len(ends_s) < MIN_ENDS_TO_REFUSE:
         return 0
-    known_s = ends_s[MIN_ENDS_TO_REFUSE - 1] + TOUCH_S
-    return sum(at_s - RUN_S > known_s for at_s in ends_s)
+    known_s = ends_s[MIN_ENDS_TO_REFUSE - 1] + SPREAD_LIMIT_S
+    return sum(at_s - RUN_DURATION_S > known_s for at_s in ends_s)
 
 
 async def run(seed: int) -> BenchResult:
-    """Replay every way at every size of fleet, and the kept one with several requests."""
-    rows = [_row(way, count, seed) for count in FLEETS for way in WAYS]
-    rows += [_row(WAYS[0], count, seed, TOGETHER) for count in FLEETS]
+    """Simulate every variant at every fleet size, and the policy with several requests too."""
+    rows = [_row(variant, count, seed) for count in FLEET_SIZES for variant in VARIANTS]
+    rows += [_row(VARIANTS[0], count, seed, SIMULTANEOUS_REQUESTS) for count in FLEET_SIZES]
     note = (
-        f"one request, back every {COMES_BACK_S:g} s for {LENGTH_S:g} s; sent_on counts what "
-        f"begins later than {TOUCH_S:g} s after the third end, of which three are allowed; "
-        f"all_know_s of {LENGTH_S:g} is never"
+        f"one request, back every {ARRIVAL_INTERVAL_S:g} s for {DURATION_S:g} s; sent_on counts "
+        f"runs that begin more than {SPREAD_LIMIT_S:g} s after the third end, at most three are "
+        f"allowed; all_know_s of {DURATION_S:g} is never"
     )
     return BenchResult("crashes", seed, rows, note)
 
 
-def _row(way: Way, count: int, seed: int, requests: int = 1) -> BenchRow:
-    runs = [CrashReplay(way, count, seed + repeat, requests).run() for repeat in range(REPEATS)]
-    name = f"{way.name}, {count} nodes"
+def _row(variant: Variant, count: int, seed: int, requests: int = 1) -> BenchRow:
+    runs = [CrashReplay(variant, count, seed + repeat, requests).run() for repeat in range(REPEATS)]
+    name = f"{variant.name}, {count} nodes"
     return average_runs(name if requests == 1 else f"{name}, {requests} requests", runs)
--- a/tests/bench/test_crashes.py
+++ b/tests/bench/test_crashes.py
@@ -1,45 +1,46 @@
-"""What the shared evidence on requests that end their targets gains, and whom it spares."""
+"""Crash evidence shared between nodes: bound on crashed targets, and no false refusals."""
 
 import pytest
 
 from samphirecleat.bench import _blame
 from samphirecleat.bench._blame import RULES, BlameReplay
-from samphirecleat.bench._crashes import WAYS, CrashReplay
+from samphirecleat.bench._crashes import VARIANTS, CrashReplay
 
-ALLOWED = 3
+MAX_RUNS_SENT_ON = 3
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("nodes", [9, 64])
-def test_nodes_that_share_what_they_see_keep_a_request_from_ending_more(
-    nodes: int, seed: int
-) -> None:
-    """A request comes back every five seconds at other nodes.
+def test_shared_evidence_bounds_the_targets_a_request_ends(nodes: int, seed: int) -> None:
+    """Guards against a repeated request that crashes targets at one node after another.
 
-    Without a word between them each node lets it end as many targets as its route allows, and a
-    question before each second attempt comes too late for the first.
+    It comes back every five seconds at other nodes. Without shared evidence each node lets it end
+    as many targets as its route allows; asking peers before a second attempt is too late for the
+    first one.
     """
-    sent_on = {way.name: CrashReplay(way, nodes, seed).run()["sent_on"] for way in WAYS}
-    assert sent_on["heartbeats and log"] <= ALLOWED
-    assert sent_on["heartbeats"] <= ALLOWED
-    assert sent_on["own ends only"] > ALLOWED
+    sent_on = {
+        variant.name: CrashReplay(variant, nodes, seed).run()["sent_on"] for variant in VARIANTS
+    }
+    assert sent_on["heartbeats and log"] <= MAX_RUNS_SENT_ON
+    assert sent_on["heartbeats"] <= MAX_RUNS_SENT_ON
+    assert sent_on["own ends only"] > MAX_RUNS_SENT_ON
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("nodes", [9, 64])
-def test_requests_that_blur_each_others_ends_keep_to_the_bound_too(nodes: int, seed: int) -> None:
-    """Two requests that end their targets come at the same moments, at nodes drawn at random."""
-    assert CrashReplay(WAYS[0], nodes, seed, requests=2).run()["sent_on"] <= ALLOWED
+def test_the_bound_holds_for_two_requests_that_arrive_together(nodes: int, seed: int) -> None:
+    """Two requests that crash targets arrive at the same times, at nodes drawn at random."""
+    assert CrashReplay(VARIANTS[0], nodes, seed, requests=2).run()["sent_on"] <= MAX_RUNS_SENT_ON
 
 
-def test_an_hour_of_crashes_and_lost_zones_has_no_call_refused(
+def test_no_call_is_refused_when_crashes_have_other_causes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Zones and whole services go under calls of which none is to blame.
+    """Guards against refusals of innocent requests when zones or whole services are lost.
 
-    By a count of ends alone, the most popular requests were refused from then on.
+    A rule that only counts ends refused the most popular requests from then on.
     """
-    monkeypatch.setattr(_blame, "HOUR_S", 600.0)
+    monkeypatch.setattr(_blame, "DURATION_S", 600.0)
     refused = {rule.name: BlameReplay(rule, 31).run()["requests_refused"] for rule in RULES}
     assert refused["the ledger"] == 0
     assert refused["three ends"] > 0
