--- a/samphirecleat/bench/_duties.py
+++ b/samphirecleat/bench/_duties.py
@@ -1,9 +1,9 @@
-"""Bench of duties: a holder that freezes, is cut off, dies or wakes, and who acts meanwhile.
+"""Bench of duties: who acts while a holder is frozen, cut off or killed, and after it recovers.
 
-Pure replay in steps of virtual time: the election, the fold of claims, and the two conditions
-under which a holder acts are the product's own; the log, the membership and the platform are
-played. Compared with a holder that does not ask whether its claim still stands, and with an heir
-that does not wait.
+A simulation in steps of virtual time. The election, the fold of claims, and the two conditions
+under which a holder acts are the product's code; the log, the membership and the platform are
+simulated. The baselines are a holder that does not confirm its claim in the log, and a successor
+(the heir in the names of rows) that does not wait.
 """
 
 import random
@@ -18,52 +18,56 @@
 from ._harness import BenchResult, average_runs
 
 DEFAULT_SEED: Final = 29
-FLEETS: Final = (9, 64, 195, 390)
+FLEET_SIZES: Final = (9, 64, 195, 390)
 REPEATS: Final = 6
 SUBJECT: Final = "duty:bench"
-LENGTH_S: Final = 40.0
+DURATION_S: Final = 40.0
 TICK_S: Final = 0.05
 LEASE_S: Final = 3.0
-# Between a record's append and its fold at a node, and until a silent node is found dead.
-FOLD_S: Final = (0.01, 0.25)
-DETECT_S: Final = (0.5, 1.3)
-# A call is carried out at once, or seconds after its caller gave it up.
-LATE_S: Final = (1.0, 6.0)
-ACT_EVERY_S: Final = 0.4
+# Delay from a record's append to its fold at a node; time until a silent node is considered dead.
+FOLD_DELAY_S: Final = (0.01, 0.25)
+DETECTION_DELAY_S: Final = (0.5, 1.3)
+# Delay of a late call, which the platform executes after its caller gave it up. Other calls are
+# executed at once.
+LATE_CALL_DELAY_S: Final = (1.0, 6.0)
+CALL_INTERVAL_S: Final = 0.4
 FAULT_AT_S: Final = 8.0
-FAULT_S: Final = 5.0
+FAULT_DURATION_S: Final = 5.0
 
 
 class Fault(NamedTuple):
     """What happens to the holder at ``FAULT_AT_S``.
 
-    ``runs`` says that its process goes on, ``hears`` that the log reaches it, ``comes_back``
-    that it does so after ``FAULT_S``. Some of its last calls are ``late``.
+    ``keeps_running``: its process goes on. ``reads_log``: it can still read the log.
+    ``recovers``: the fault ends after ``FAULT_DURATION_S``. ``has_late_calls``: its last calls
+    before the fault are executed ``LATE_CALL_DELAY_S`` later.
     """
 
     name: str
-    runs: bool
-    hears: bool
-    comes_back: bool
-    late: bool = False
+    keeps_running: bool
+    reads_log: bool
+    recovers: bool
+    has_late_calls: bool = False
 
 
 FAULTS: Final = (
     Fault("frozen, woken after its heir acted", False, False, True),
     Fault("cut one way", True, False, True),
-    Fault("killed as its call is under way", False, False, False, late=True),
+    Fault("killed as its call is under way", False, False, False, has_late_calls=True),
 )
 
 
 class Rules(NamedTuple):
-    """Whether a holder asks if its claim stands, how long an heir waits, and who checks fences.
+    """Conditions under which a holder acts, and whether its calls are fenced.
 
-    A call with a lower number than one before it is refused where they are ``fenced``.
+    A successor waits ``successor_wait_s`` after it took the duty over. With ``confirms_claim``, a
+    holder acts only if it read the log recently. Where calls are ``fenced``, the platform refuses a
+    call whose fencing number is lower than that of an earlier call.
     """
 
     name: str
-    wait_s: float
-    confirms: bool = True
+    successor_wait_s: float
+    confirms_claim: bool = True
     fenced: bool = False
 
 
@@ -74,101 +78,103 @@
     ),
     Rules("no fences, heir does not wait", 0.0),
     Rules("fences, heir does not wait", 0.0, fenced=True),
-    Rules("fences, claim not confirmed", 0.0, confirms=False, fenced=True),
+    Rules("fences, claim not confirmed", 0.0, confirms_claim=False, fenced=True),
 )
-# These are the product's own; the others show what they prevent.
-KEPT_VARIANTS: Final = 2
+# The first variants are the product's rules; the others show what these rules prevent.
+PRODUCT_VARIANT_COUNT: Final = 2
 
 
 class _Node:
-    """One node's view."""
+    """The state of one node: its fold of the log and its claims."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.folded = 0
+        self.next_offset = 0
         self.fold = StepFold()
         self.confirmed_at_s = 0.0
-        self.taken: dict[int, float] = {}
+        self.held_since_s: dict[int, float] = {}
         self.claimed_at_s = -1e9
         self.claim_seen_at_s = -1e9
 
 
 class DutiesReplay:
-    """One fleet, one fault, one way."""
+    """Simulates one fleet with one fault under one set of rules."""
 
     def __init__(self, rules: Rules, fault: Fault, nodes: int, seed: int) -> None:
-        """Draw delays from ``seed``."""
+        """Draw all delays from ``seed``."""
         self._rules = rules
         self._fault = fault
         self._rng = random.Random(seed)
         self._nodes = [_Node(f"n{number:03d}") for number in range(nodes)]
         self._log: list[tuple[float, RunnerClaimed]] = []
-        self._struck = ""
-        self._detected_at_s = FAULT_AT_S + self._rng.uniform(*DETECT_S)
-        self._acts: list[tuple[float, str, int]] = []
-        self._next_act_s: dict[str, float] = {}
+        self._faulted_node = ""
+        self._detected_at_s = FAULT_AT_S + self._rng.uniform(*DETECTION_DELAY_S)
+        self._holder_calls: list[tuple[float, str, int]] = []
+        self._next_call_s: dict[str, float] = {}
         self._candidates: list[Candidate] = []
         self._alive_names: set[str] = set()
 
     def run(self) -> Mapping[str, float]:
-        """Return the time without a holder, and the calls that break a rule."""
+        """Run the simulation; return the longest gap between calls and counts of violations."""
         now_s = 0.0
-        while now_s < LENGTH_S:
-            self._candidates = self._alive(now_s)
+        while now_s < DURATION_S:
+            self._candidates = self._find_alive(now_s)
             self._alive_names = {candidate.incarnation for candidate in self._candidates}
             for node in self._nodes:
                 if self._is_running(node, now_s):
-                    self._look(node, now_s)
+                    self._step_node(node, now_s)
             now_s += TICK_S
         return self._figures()
 
     def _is_running(self, node: _Node, now_s: float) -> bool:
-        return node.name != self._struck or self._is_over(now_s) or self._fault.runs
+        return (
+            node.name != self._faulted_node or self._is_healthy(now_s) or self._fault.keeps_running
+        )
 
-    def _hears(self, node: _Node, now_s: float) -> bool:
-        return node.name != self._struck or self._is_over(now_s) or self._fault.hears
+    def _reads_log(self, node: _Node, now_s: float) -> bool:
+        return node.name != self._faulted_node or self._is_healthy(now_s) or self._fault.reads_log
 
-    def _is_over(self, now_s: float) -> bool:
+    def _is_healthy(self, now_s: float) -> bool:
         if now_s < FAULT_AT_S:
             return True
-        return self._fault.comes_back and now_s >= FAULT_AT_S + FAULT_S
+        return self._fault.recovers and now_s >= FAULT_AT_S + FAULT_DURATION_S
 
-    def _look(self, node: _Node, now_s: float) -> None:
-        if self._hears(node, now_s):
-            self._follow(node, now_s)
+    def _step_node(self, node: _Node, now_s: float) -> None:
+        if self._reads_log(node, now_s):
+            self._fold_log(node, now_s)
         claim = node.fold.claims.get(SUBJECT)
         if claim is not None and claim.node_id == node.name:
-            self._hold(node, claim.offset, claim.previous_node_id, now_s)
-        elif self._hears(node, now_s):
-            self._claim(node, now_s)
-
-    def _follow(self, node: _Node, now_s: float) -> None:
-        while node.folded < len(self._log) and self._log[node.folded][0] <= now_s:
-            record = self._log[node.folded][1]
-            if node.fold.apply(record, node.folded, now_s):
+            self._act_as_holder(node, claim.offset, claim.previous_node_id, now_s)
+        elif self._reads_log(node, now_s):
+            self._claim_if_due(node, now_s)
+
+    def _fold_log(self, node: _Node, now_s: float) -> None:
+        while node.next_offset < len(self._log) and self._log[node.next_offset][0] <= now_s:
+            record = self._log[node.next_offset][1]
+            if node.fold.apply(record, node.next_offset, now_s):
                 node.claim_seen_at_s = now_s
-            node.folded += 1
+            node.next_offset += 1
         node.confirmed_at_s = now_s
 
-    def _hold(self, node: _Node, offset: int, before: str, now_s: float) -> None:
-        taken_at_s = node.taken.setdefault(offset, now_s)
-        follows_other = before not in ("", node.name)
-        wait_s = self._rules.wait_s if follows_other else 0.0
+    def _act_as_holder(self, node: _Node, offset: int, previous: str, now_s: float) -> None:
+        held_from_s = node.held_since_s.setdefault(offset, now_s)
+        follows_other = previous not in ("", node.name)
+        successor_wait_s = self._rules.successor_wait_s if follows_other else 0.0
         confirmed = now_s - node.confirmed_at_s <= MAX_CONFIRMATION_AGE_S
-        if now_s - taken_at_s < wait_s or (self._rules.confirms and not confirmed):
+        if now_s - held_from_s < successor_wait_s or (self._rules.confirms_claim and not confirmed):
             return
-        if now_s < self._next_act_s.get(node.name, 0.0):
+        if now_s < self._next_call_s.get(node.name, 0.0):
             return
-        self._next_act_s[node.name] = now_s + ACT_EVERY_S
-        late_s = self._rng.uniform(*LATE_S) if self._is_late(now_s) else 0.0
-        self._acts.append((now_s + late_s, node.name, offset))
-        if now_s >= FAULT_AT_S - ACT_EVERY_S and not self._struck:
-            self._struck = node.name
+        self._next_call_s[node.name] = now_s + CALL_INTERVAL_S
+        late_s = self._rng.uniform(*LATE_CALL_DELAY_S) if self._is_late(now_s) else 0.0
+        self._holder_calls.append((now_s + late_s, node.name, offset))
+        if now_s >= FAULT_AT_S - CALL_INTERVAL_S and not self._faulted_node:
+            self._faulted_node = node.name
 
     def _is_late(self, now_s: float) -> bool:
-        return self._fault.late and FAULT_AT_S - ACT_EVERY_S <= now_s < FAULT_AT_S
+        return self._fault.has_late_calls and FAULT_AT_S - CALL_INTERVAL_S <= now_s < FAULT_AT_S
 
-    def _claim(self, node: _Node, now_s: float) -> None:
+    def _claim_if_due(self, node: _Node, now_s: float) -> None:
         claim = node.fold.claims.get(SUBJECT)
         view = ElectionView(
             node.name,
@@ -185,43 +191,45 @@
             node.claimed_at_s = now_s
             replaces = claim.offset if claim is not None else -1
             record = RunnerClaimed(SUBJECT, node.name, node.name, replaces)
-            self._log.append((now_s + self._rng.uniform(*FOLD_S), record))
+            self._log.append((now_s + self._rng.uniform(*FOLD_DELAY_S), record))
 
-    def _alive(self, now_s: float) -> list[Candidate]:
-        """Return the nodes that are taken for alive."""
-        found_dead = not self._is_over(now_s) and now_s >= self._detected_at_s
+    def _find_alive(self, now_s: float) -> list[Candidate]:
+        """Return the nodes that the membership considers alive."""
+        found_dead = not self._is_healthy(now_s) and now_s >= self._detected_at_s
         return [
             Candidate(node.name, node.name, 0)
             for node in self._nodes
-            if not (found_dead and node.name == self._struck)
+            if not (found_dead and node.name == self._faulted_node)
         ]
 
     def _figures(self) -> Mapping[str, float]:
-        highest, lower, turns = -1, 0, 0
-        acts: list[tuple[float, str, int]] = []
-        for act in sorted(self._acts):
-            is_lower = act[2] < highest
+        highest, lower, returns = -1, 0, 0
+        calls: list[tuple[float, str, int]] = []
+        for call in sorted(self._holder_calls):
+            is_lower = call[2] < highest
             lower += is_lower
             if is_lower and self._rules.fenced:
                 continue
-            highest = max(highest, act[2])
-            turns += self._returns_within_lease(acts, act[0], act[1])
-            acts.append(act)
-        gaps = [after[0] - before[0] for before, after in pairwise(acts)]
+            highest = max(highest, call[2])
+            returns += self._returns_within_lease(calls, call[0], call[1])
+            calls.append(call)
+        gaps = [after[0] - before[0] for before, after in pairwise(calls)]
         return {
-            "longest_without_s": max(gaps, default=LENGTH_S),
+            "longest_without_s": max(gaps, default=DURATION_S),
             "lower_number": float(lower),
-            "two_in_a_lease": float(turns),
+            "two_in_a_lease": float(returns),
         }
 
     @staticmethod
-    def _returns_within_lease(before: list[tuple[float, str, int]], at_s: float, name: str) -> bool:
-        """Whether a holder acts after another one that acted after it, all within a lease."""
+    def _returns_within_lease(
+        earlier: list[tuple[float, str, int]], at_s: float, name: str
+    ) -> bool:
+        """Whether a holder acts again within a lease although another holder acted in between."""
         other_between = False
-        for before_s, before_name, _offset in reversed(before):
-            if at_s - before_s > LEASE_S:
+        for earlier_s, earlier_name, _offset in reversed(earlier):
+            if at_s - earlier_s > LEASE_S:
                 return False
-            if before_name != name:
+            if earlier_name != name:
                 other_between = True
             elif other_between:
                 return True
@@ -229,19 +237,22 @@
 
 
 async def run(seed: int) -> BenchResult:
-    """Replay every fault at every size of fleet under each set of rules."""
+    """Simulate every fault at every fleet size under each set of rules.
+
+    Sizes other than the smallest run only the product's rules.
+    """
     rows = [
         average_runs(
             f"{rules.name}; {fault.name}, {nodes} nodes",
             [DutiesReplay(rules, fault, nodes, seed + n).run() for n in range(REPEATS)],
         )
         for fault in FAULTS
-        for nodes in FLEETS
-        for rules in (VARIANTS if nodes == FLEETS[0] else VARIANTS[:KEPT_VARIANTS])
+        for nodes in FLEET_SIZES
+        for rules in (VARIANTS if nodes == FLEET_SIZES[0] else VARIANTS[:PRODUCT_VARIANT_COUNT])
     ]
     note = (
-        f"the holder is struck at {FAULT_AT_S:g} s for {FAULT_S:g} s; lower_number: calls that a "
-        "fence refuses, or that break a rule where there is none; two_in_a_lease: calls taken of "
-        "a holder after another's within a lease"
+        f"the holder fails at {FAULT_AT_S:g} s for {FAULT_DURATION_S:g} s; lower_number: calls "
+        "with a lower fencing number than an earlier call, refused where fences are checked; "
+        "two_in_a_lease: calls accepted from a holder after another's within a lease"
     )
     return BenchResult("duties", seed, rows, note)
--- a/samphirecleat/bench/_usage.py
+++ b/samphirecleat/bench/_usage.py
@@ -1,8 +1,8 @@
-"""Bench of usage: ways to bring the counts of a window together while nodes are killed.
+"""Bench of usage: ways to aggregate the counts of a window while nodes are killed.
 
-Pure replay: each node takes calls of workspaces at random; nodes are killed at random moments and
-start again without what they had not written. Compared by windows whose figures are right for
-every workspace, and by what that costs the log and the network between nodes.
+A simulation in virtual time. Each node takes calls of workspaces at random; nodes are killed at
+random and restart without the counts that they had not written. The variants are compared by the
+windows whose counts are right for every workspace, and by their load on the log and the network.
 """
 
 import random
@@ -17,45 +17,45 @@
 from ._harness import BenchResult, BenchRow, average_runs
 
 DEFAULT_SEED: Final = 23
-FLEETS: Final = (64, 195, 390)
-# Calls a second by fleet: what the deployments of that size have, and the designed peak.
+FLEET_SIZES: Final = (64, 195, 390)
+# Calls per second by number of nodes: those of deployments of that size; at 390 the design peak.
 CALLS_PER_S: Final[Mapping[int, float]] = {64: 7.0, 195: 60.0, 390: 3100.0}
 WORKSPACES: Final = 74
 WINDOW_S: Final = 5.0
 WINDOWS: Final = 24
 REPEATS: Final = 4
-# One node in this time: a rack's worth of them in a bad minute.
-KILL_EVERY_S: Final = 6.0
-TOLERANCE: Final = 0.05
+# Mean time between two kills: about as many nodes a minute as the loss of a rack takes.
+KILL_INTERVAL_S: Final = 6.0
+COUNT_TOLERANCE: Final = 0.05
 HEARTBEAT_S: Final = 0.15
 PEERS: Final = 2
-LOST_DATAGRAMS: Final = 0.01
-# Of a datagram that carries counts: workspace and number.
-ROW_BYTES: Final = 12
+DATAGRAM_LOSS_SHARE: Final = 0.01
+# Size of one count in a datagram: workspace and number.
+COUNT_BYTES: Final = 12
 
 
 class _Node:
-    """One node's counts that are not handed on yet, and when it last handed some on."""
+    """One node's counts that are not sent yet, and the time of its last write."""
 
     def __init__(self) -> None:
         self.unwritten: Counter[tuple[int, int]] = Counter()
-        self.last_s = -WINDOW_S
+        self.last_write_s = -WINDOW_S
 
 
-class Way(NamedTuple):
-    """How counts are handed on: to the log, or to peers at each heartbeat.
+class Variant(NamedTuple):
+    """When and where a node writes its counts: to the log, or to peers on heartbeats.
 
-    ``due_at_s`` says when, by the number of nodes, the time of the first count that is not handed
-    on, and when the node last handed some on.
+    ``due_at_s`` returns the time of the next write from the number of nodes, the time of the first
+    unwritten count and the time of the last write.
     """
 
     name: str
     due_at_s: Callable[[int, float, float], float]
-    to_peers: bool = False
+    uses_peers: bool = False
 
 
-def _as_rate_allows(nodes: int, at_s: float, last_s: float) -> float:
-    return max(at_s + SHORTEST_GAP_S, last_s + write_gap_s(nodes))
+def _when_rate_allows(nodes: int, at_s: float, last_write_s: float) -> float:
+    return max(at_s + SHORTEST_GAP_S, last_write_s + write_gap_s(nodes))
 
 
 def _after_a_pause(nodes: int, at_s: float, _last_s: float) -> float:
@@ -66,7 +66,7 @@
     return (at_s // WINDOW_S + 1) * WINDOW_S
 
 
-def _at_once(_nodes: int, at_s: float, _last_s: float) -> float:
+def _immediately(_nodes: int, at_s: float, _last_s: float) -> float:
     return at_s
 
 
@@ -74,98 +74,100 @@
     return at_s + HEARTBEAT_S
 
 
-WAYS: Final = (
-    Way("to the log, as its rate allows", _as_rate_allows),
-    Way("to the log, after a pause", _after_a_pause),
-    Way("to the log, at the window's end", _at_window_end),
-    Way("to the log, each call", _at_once),
-    Way("to two peers on heartbeats", _next_heartbeat, to_peers=True),
+VARIANTS: Final = (
+    Variant("to the log, as its rate allows", _when_rate_allows),
+    Variant("to the log, after a pause", _after_a_pause),
+    Variant("to the log, at the window's end", _at_window_end),
+    Variant("to the log, each call", _immediately),
+    Variant("to two peers on heartbeats", _next_heartbeat, uses_peers=True),
 )
 
 
 class UsageReplay:
-    """One fleet through some windows."""
+    """Simulates one fleet for ``WINDOWS`` windows."""
 
-    def __init__(self, way: Way, nodes: int, seed: int) -> None:
-        """Draw calls and kills from ``seed``, the same for every way."""
-        self._way = way
+    def __init__(self, variant: Variant, nodes: int, seed: int) -> None:
+        """Draw the same calls and kills from ``seed`` for every variant."""
+        self._variant = variant
         self._nodes = nodes
         self._rng = random.Random(seed)
-        self._loss = random.Random(seed + 1)
-        self._kept: Counter[tuple[int, int]] = Counter()
-        self._held: list[_Node] = [_Node() for _ in range(nodes)]
+        self._loss_rng = random.Random(seed + 1)
+        self._counted: Counter[tuple[int, int]] = Counter()
+        self._pending: list[_Node] = [_Node() for _ in range(nodes)]
         self._appends = 0
         self._log_bytes = 0
         self._peer_bytes = 0
 
     def run(self) -> Mapping[str, float]:
-        """Return windows right, and appends and bytes a second."""
+        """Run the simulation; return the share of right windows, lost calls and load per second."""
         length_s = WINDOWS * WINDOW_S
-        truth: Counter[tuple[int, int]] = Counter()
+        expected: Counter[tuple[int, int]] = Counter()
         at_s, rate = 0.0, CALLS_PER_S[self._nodes]
-        next_kill_s = self._rng.expovariate(1.0 / KILL_EVERY_S)
+        next_kill_s = self._rng.expovariate(1.0 / KILL_INTERVAL_S)
         due: list[tuple[float, int]] = []
         while True:
             at_s += self._rng.expovariate(rate)
             while next_kill_s < min(at_s, length_s):
                 self._write_due(due, next_kill_s)
-                self._held[self._rng.randrange(self._nodes)] = _Node()
-                next_kill_s += self._rng.expovariate(1.0 / KILL_EVERY_S)
+                self._pending[self._rng.randrange(self._nodes)] = _Node()
+                next_kill_s += self._rng.expovariate(1.0 / KILL_INTERVAL_S)
             self._write_due(due, at_s)
             if at_s >= length_s:
                 break
             node = self._rng.randrange(self._nodes)
-            # A few workspaces are large.
+            # Squared, so that a few workspaces have most calls.
             workspace = int(WORKSPACES * self._rng.random() ** 2)
             count = (int(at_s // WINDOW_S), workspace)
-            truth[count] += 1
-            held = self._held[node]
-            if not held.unwritten:
-                heappush(due, (self._way.due_at_s(self._nodes, at_s, held.last_s), node))
-            held.unwritten[count] += 1
+            expected[count] += 1
+            pending = self._pending[node]
+            if not pending.unwritten:
+                heappush(
+                    due, (self._variant.due_at_s(self._nodes, at_s, pending.last_write_s), node)
+                )
+            pending.unwritten[count] += 1
         self._write_due(due, length_s + 2.0 * WINDOW_S)
-        return self._figures(truth, length_s)
+        return self._figures(expected, length_s)
 
     def _write_due(self, due: list[tuple[float, int]], until_s: float) -> None:
         while due and due[0][0] <= until_s:
             at_s, node = heappop(due)
-            held = self._held[node]
-            if not held.unwritten:
+            pending = self._pending[node]
+            if not pending.unwritten:
                 continue
-            if self._way.to_peers:
-                self._tell_peers(held)
+            if self._variant.uses_peers:
+                self._send_to_peers(pending)
             else:
-                self._append(held)
-            held.unwritten = Counter()
-            held.last_s = at_s
+                self._append(pending)
+            pending.unwritten = Counter()
+            pending.last_write_s = at_s
 
-    def _append(self, held: _Node) -> None:
+    def _append(self, pending: _Node) -> None:
         by_window: dict[int, dict[str, int]] = {}
-        for (window, workspace), calls in held.unwritten.items():
+        for (window, workspace), calls in pending.unwritten.items():
             by_window.setdefault(window, {})[f"workspace-{workspace}"] = calls
         self._appends += 1
         for window, counts in by_window.items():
             key, value = entry_of(CountsAdded(window, counts), "0123456789ab.1")
             self._log_bytes += len(key) + len(value) + 5
-        self._kept += held.unwritten
+        self._counted += pending.unwritten
 
-    def _tell_peers(self, held: _Node) -> None:
-        """Hand counts to two peers; they are lost with all of their datagrams."""
-        self._peer_bytes += PEERS * ROW_BYTES * len(held.unwritten)
-        if any(self._loss.random() >= LOST_DATAGRAMS for _peer in range(PEERS)):
-            self._kept += held.unwritten
+    def _send_to_peers(self, pending: _Node) -> None:
+        """Send counts to ``PEERS`` peers; they are lost only if every datagram is lost."""
+        self._peer_bytes += PEERS * COUNT_BYTES * len(pending.unwritten)
+        if any(self._loss_rng.random() >= DATAGRAM_LOSS_SHARE for _peer in range(PEERS)):
+            self._counted += pending.unwritten
 
-    def _figures(self, truth: Counter[tuple[int, int]], length_s: float) -> Mapping[str, float]:
+    def _figures(self, expected: Counter[tuple[int, int]], length_s: float) -> Mapping[str, float]:
         wrong = {
             window
-            for (window, workspace), calls in truth.items()
-            if abs(self._kept[window, workspace] - calls) > TOLERANCE * calls
+            for (window, workspace), calls in expected.items()
+            if abs(self._counted[window, workspace] - calls) > COUNT_TOLERANCE * calls
         }
-        # Peers hold counts in memory; each window's sum still has to be written by every node.
-        appends = self._appends + (self._nodes * WINDOWS if self._way.to_peers else 0)
+        # Peers keep counts in memory only: each node still has to append its sum of each window.
+        appends = self._appends + (self._nodes * WINDOWS if self._variant.uses_peers else 0)
         return {
             "windows_right": 1.0 - len(wrong) / WINDOWS,
-            "calls_lost": float(truth.total() - self._kept.total()),
+            "calls_lost": float(expected.total() - self._counted.total()),
             "appends_per_s": appends / length_s,
             "log_bytes_per_s": self._log_bytes / length_s,
             "peer_bytes_per_s": self._peer_bytes / length_s,
@@ -173,15 +175,15 @@
 
 
 async def run(seed: int) -> BenchResult:
-    """Replay every way at every size of fleet."""
-    rows = [_row(way, nodes, seed) for nodes in FLEETS for way in WAYS]
+    """Simulate every variant at every fleet size."""
+    rows = [_row(variant, nodes, seed) for nodes in FLEET_SIZES for variant in VARIANTS]
     note = (
-        f"{WINDOWS} windows of {WINDOW_S:g} s, a node killed every {KILL_EVERY_S:g} s; calls a "
+        f"{WINDOWS} windows of {WINDOW_S:g} s, a node killed every {KILL_INTERVAL_S:g} s; calls a "
         f"second: {', '.join(f'{n} nodes {r:g}' for n, r in CALLS_PER_S.items())}"
     )
     return BenchResult("usage", seed, rows, note)
 
 
-def _row(way: Way, nodes: int, seed: int) -> BenchRow:
-    runs = [UsageReplay(way, nodes, seed + repeat).run() for repeat in range(REPEATS)]
-    return average_runs(f"{way.name}, {nodes} nodes", runs)
+def _row(variant: Variant, nodes: int, seed: int) -> BenchRow:
+    runs = [UsageReplay(variant, nodes, seed + repeat).run() for repeat in range(REPEATS)]
+    return average_runs(f"{variant.name}, {nodes} nodes", runs)
