--- a/samphirecleat/bench/_config.py
+++ b/samphirecleat/bench/_config.py
@@ -25,7 +25,7 @@
 TIMEOUT_S: Final = 30.0
 SEVERAL_ZONES: Final = ("bilbao-a", "bilbao-b", "oviedo-a", "santander-a")
 ONE_ZONE: Final = ("bilbao-a",)
-NO_LOG: Final = "http://127.0.0.1:9"
+UNREACHABLE_URL: Final = "http://127.0.0.1:9"
 
 
 class ConfigFleet:
@@ -66,7 +66,7 @@
             peer_address=self._addresses.take(),
             shared_key="bench-only-shared-key",
             log_url=log_url or self.log.url,
-            weight_store_url=NO_LOG,
+            weight_store_url=UNREACHABLE_URL,
             host_list_url=self.host_list.url,
             seeds=[node.settings.peer_address for node in self.nodes[:3]],
             seed=self._seed + self._started_count,
@@ -136,7 +136,7 @@
     runs: list[Mapping[str, float]] = []
     async with ConfigFleet(seed, Timings()) as fleet:
         for index in range(NODE_COUNT):
-            log_url = NO_LOG if index >= NODE_COUNT - cut_off_count else ""
+            log_url = UNREACHABLE_URL if index >= NODE_COUNT - cut_off_count else ""
             await fleet.start_node(zones[index % len(zones)], log_url=log_url)
         revision = await fleet.publish(NO_REVISION)
         await fleet.until_in_force(revision)
--- a/tests/test_config_in_force.py
+++ b/tests/test_config_in_force.py
@@ -5,7 +5,7 @@
 import aiohttp
 
 from samphirecleat._report_tables import report_tables
-from samphirecleat.bench._config import NO_LOG, ConfigFleet
+from samphirecleat.bench._config import UNREACHABLE_URL, ConfigFleet
 from samphirecleat.config import NO_REVISION
 from samphirecleat.settings import Timings
 
@@ -20,7 +20,7 @@
     async def work() -> None:
         async with ConfigFleet(1, TIMINGS) as fleet:
             await fleet.start_node("bilbao-a")
-            await fleet.start_node("bilbao-b", log_url=NO_LOG)
+            await fleet.start_node("bilbao-b", log_url=UNREACHABLE_URL)
             revision = await fleet.publish(NO_REVISION)
             await fleet.until_in_force(revision)
             await fleet.until_in_force(await fleet.publish(revision))
