--- a/samphirecleat/bench/__init__.py
+++ b/samphirecleat/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Benches: each measures a decision against its simplest baselines in one run."""
+"""Benchmarks that compare a policy of the product with simple baselines."""
 
 from ._harness import BenchResult, BenchRow, average_runs, print_result, run_repeats
 from ._registry import BENCH_MODULES, UnknownBenchError, run_bench
--- a/samphirecleat/bench/_fit.py
+++ b/samphirecleat/bench/_fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Least-squares lines through measured points."""
 
 from collections.abc import Sequence
 from statistics import linear_regression
@@ -12,7 +12,7 @@
     per_unit: float
 
     def at(self, units: float) -> float:
-        """Return the value that the line gives for a size."""
+        """Return the value of the line at a number of units."""
         return self.fixed + self.per_unit * units
 
 
--- a/samphirecleat/bench/_harness.py
+++ b/samphirecleat/bench/_harness.py
@@ -1,4 +1,4 @@
-"""What every bench returns, and how it is printed: policy against baselines."""
+"""Results of benches: rows of figures, and a table with the ratios to the policy."""
 
 from collections.abc import Awaitable, Callable, Mapping, Sequence
 from statistics import fmean
@@ -39,25 +39,25 @@
     :raises ValueError: when there is no run.
     """
     if not runs:
-        raise ValueError(f'no run of "{variant}"')
+        raise ValueError(f'variant "{variant}" has no run')
     figures = {name: fmean(run[name] for run in runs) for name in runs[0]}
     return BenchRow(variant, len(runs), figures)
 
 
 def fleet_size(row: BenchRow) -> float:
-    """Return the number of nodes in a variant's name, which reads ``way, N nodes``."""
+    """Return the number of nodes in a variant's name, which has the form ``name, N nodes``."""
     return float(row.variant.split(", ")[1].split(" ")[0])
 
 
 async def run_repeats(
     variant: str, run_once: Callable[[int], Awaitable[Mapping[str, float]]], seed: int, repeats: int
 ) -> BenchRow:
-    """Return a variant's row over ``repeats`` runs with seeds that follow each other."""
+    """Return a variant's row over ``repeats`` runs with consecutive seeds from ``seed`` on."""
     return average_runs(variant, [await run_once(seed + repeat) for repeat in range(repeats)])
 
 
 def print_result(result: BenchResult) -> None:
-    """Print every figure of each variant, and below it the ratio to the policy's."""
+    """Print the figures of each variant, with their ratios to the policy's for a baseline."""
     policy = result.rows[0]
     names = list(policy.figures)
     table: list[list[object]] = []
--- a/samphirecleat/bench/_open_load.py
+++ b/samphirecleat/bench/_open_load.py
@@ -1,4 +1,4 @@
-"""An open load of streamed calls on the nodes of a fleet, and what their callers saw."""
+"""Open-loop load of streamed calls on the nodes of a fleet, with the outcome of each call."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 
 
 class LoadCall(NamedTuple):
-    """One call that a load sends; ``at_s`` counts from the start of the load."""
+    """One call of a load; ``at_s`` is its send time in seconds from the start of the load."""
 
     at_s: float
     service: str
@@ -27,33 +27,33 @@
 
 
 class LoadOutcome(NamedTuple):
-    """How one call ended. Times count from its sending; -1 stands for never."""
+    """The outcome of one call. Times are in seconds from its send; ``NO_ANSWER_S`` means never."""
 
     call: LoadCall
     first_line_s: float
-    whole_s: float
+    completed_s: float
     ran: str
 
     @property
-    def whole(self) -> bool:
-        """Whether the caller got its whole answer."""
-        return self.whole_s >= 0.0
+    def completed(self) -> bool:
+        """Whether the caller received the complete answer."""
+        return self.completed_s >= 0.0
 
     @property
     def refused(self) -> bool:
-        """Whether it was answered as not run."""
-        return not self.whole and self.ran == Ran.NO.value
+        """Whether the error said that the call was not run."""
+        return not self.completed and self.ran == Ran.NO.value
 
 
 async def send_load(
     addresses: Sequence[str],
     calls: Sequence[LoadCall],
     rng: random.Random,
-    at_time: Callable[[float], None] | None = None,
+    on_time: Callable[[float], None] | None = None,
 ) -> Sequence[LoadOutcome]:
-    """Send each call at its time to a node drawn at random; return all outcomes.
+    """Send each call at its time to a random node; return all outcomes in order of ``calls``.
 
-    ``at_time`` is told the load's time before each call, to switch faults by it.
+    ``on_time`` is called with the load's time before each call, to switch faults on and off.
     """
     loop = asyncio.get_running_loop()
     started_at_s = loop.time()
@@ -63,8 +63,8 @@
             delay_s = started_at_s + call.at_s - loop.time()
             if delay_s > 0.0:
                 await asyncio.sleep(delay_s)
-            if at_time is not None:
-                at_time(call.at_s)
+            if on_time is not None:
+                on_time(call.at_s)
             tasks.append(loop.create_task(_send(session, rng.choice(addresses), call)))
         return await asyncio.gather(*tasks)
 
@@ -90,8 +90,8 @@
                     first_line_s = loop.time() - started_at_s
                 line: dict[str, Any] = json.loads(raw)
                 if "end" in line:
-                    whole_s = loop.time() - started_at_s
-                    return LoadOutcome(call, first_line_s, whole_s, Ran.YES.value)
+                    completed_s = loop.time() - started_at_s
+                    return LoadOutcome(call, first_line_s, completed_s, Ran.YES.value)
     except (aiohttp.ClientError, TimeoutError, OSError, ValueError, KeyError):
         pass
     return LoadOutcome(call, first_line_s, NO_ANSWER_S, Ran.UNKNOWN.value)
@@ -100,8 +100,8 @@
 def poisson_times(rate_per_s: Callable[[float], float], end_s: float, seed: int) -> Sequence[float]:
     """Return arrival times of a Poisson process whose rate may change over time.
 
-    The rate is taken at each arrival, which is near enough while it changes little
-    between two of them.
+    The rate is evaluated at each arrival, which is accurate enough while it changes little
+    between two arrivals.
     """
     rng = random.Random(seed)
     times: list[float] = []
@@ -114,7 +114,10 @@
 
 
 def milliseconds(outcomes: Sequence[LoadOutcome], percent: float, *, first: bool = False) -> float:
-    """Return a percentile of the time to the whole answer, or to its first line."""
-    answered = [outcome for outcome in outcomes if outcome.whole]
-    values = [o.first_line_s if first else o.whole_s for o in answered]
+    """Return a percentile, in ms, of the time to the complete answer or to its first line.
+
+    Only calls with a complete answer count.
+    """
+    answered = [outcome for outcome in outcomes if outcome.completed]
+    values = [o.first_line_s if first else o.completed_s for o in answered]
     return 1000.0 * percentile(values, percent)
--- a/samphirecleat/bench/_registry.py
+++ b/samphirecleat/bench/_registry.py
@@ -1,4 +1,4 @@
-"""The benches by name; a module is imported only when its bench runs."""
+"""Benches by name. The module of a bench is imported only when the bench runs."""
 
 from collections.abc import Mapping
 from importlib import import_module
@@ -27,15 +27,15 @@
 
 
 class UnknownBenchError(Exception):
-    """There is no bench of that name."""
+    """No bench has the given name."""
 
 
 async def run_bench(name: str, seed: int | None) -> BenchResult:
-    """Run a bench; ``None`` takes its own default seed.
+    """Run a bench; with ``None`` as the seed, its module's ``DEFAULT_SEED`` is used.
 
-    Each module offers ``DEFAULT_SEED`` and ``async def run(seed) -> BenchResult``.
+    Each module defines ``DEFAULT_SEED`` and ``async def run(seed) -> BenchResult``.
 
-    :raises UnknownBenchError: naming the benches that there are.
+    :raises UnknownBenchError: if no bench has that name; the message lists the names.
     """
     module_name = BENCH_MODULES.get(name)
     if module_name is None:
--- a/samphirecleat/bench/_retries.py
+++ b/samphirecleat/bench/_retries.py
@@ -1,8 +1,8 @@
-"""Bench of retries: a share of a service's targets fails for a while.
+"""Bench of retry budgets: the targets of a service refuse a share of their calls for a while.
 
-Five plain targets behind nine real nodes; for a second and a half each target
-refuses a share of its calls before it starts them. Load amplification is calls
-that reached targets for each call that a caller made.
+Five plain targets behind nine real nodes. For 1.5 s each target refuses a share of its calls
+before it starts them. Load amplification is the number of calls that reach targets for each call
+of a caller.
 """
 
 import random
@@ -16,9 +16,9 @@
 from ._open_load import LoadCall, LoadOutcome, poisson_times, send_load
 
 DEFAULT_SEED: Final = 13
-NODES: Final = 9
+NODE_COUNT: Final = 9
 RATE_PER_S: Final = 80.0
-LOAD_S: Final = 3.5
+LOAD_DURATION_S: Final = 3.5
 FAULT_FROM_S: Final = 1.0
 FAULT_TO_S: Final = 2.5
 DEADLINE_S: Final = 2.0
@@ -31,15 +31,15 @@
 
 
 class _FailingShare:
-    """Makes targets refuse a share of their calls while the fault lasts."""
+    """Makes targets refuse a share of their calls during the fault."""
 
     def __init__(self, targets: Sequence[StandInPlainService], share: float, seed: int) -> None:
         self._targets = targets
         self._share = share
         self._rng = random.Random(seed)
 
-    def at_time(self, at_s: float) -> None:
-        """Draw anew before each call which targets refuse their next one."""
+    def on_time(self, at_s: float) -> None:
+        """Draw again, before each call, which targets refuse their next call."""
         failing = FAULT_FROM_S <= at_s < FAULT_TO_S
         for target in self._targets:
             refuses = failing and self._rng.random() < self._share
@@ -47,12 +47,12 @@
 
 
 async def run(seed: int) -> BenchResult:
-    """Run every budget at every share of failing targets."""
+    """Run every budget with every share of refused calls."""
     rows = [await _run_variant(name, limit, seed) for name, limit in BUDGETS.items()]
     note = (
-        f"{NODES} nodes, {RATE_PER_S:g} calls/s; targets refuse 5%, 30%, 100% of calls from "
+        f"{NODE_COUNT} nodes, {RATE_PER_S:g} calls/s; targets refuse 5%, 30%, 100% of calls from "
         f"{FAULT_FROM_S:g} s to {FAULT_TO_S:g} s; load: calls at targets per call during the "
-        "fault; back_s: after the fault's end until every call is answered again"
+        "fault; back_s: time from the end of the fault until every call is answered"
     )
     return BenchResult("retries", seed, rows, note)
 
@@ -67,13 +67,13 @@
 
 async def _run_once(limit: RetryLimit, share: float, seed: int) -> Mapping[str, float]:
     shape = DEPLOYMENTS["los-aromos"]._replace(plain_count=5)
-    fleet = Fleet(shape, NODES, seed, Policies(retries=limit))
+    fleet = Fleet(shape, NODE_COUNT, seed, Policies(retries=limit))
     await fleet.start()
     try:
         await until_ready(fleet)
         fault = _FailingShare(fleet.plain, share, seed)
         calls = _draw_calls(shape.plain_service, shape.plain_idempotent, seed)
-        outcomes = await send_load(fleet.bootstrap, calls, random.Random(seed), fault.at_time)
+        outcomes = await send_load(fleet.bootstrap, calls, random.Random(seed), fault.on_time)
         reached = sum(len(target.arrivals) for target in fleet.plain)
     finally:
         await fleet.stop()
@@ -81,7 +81,7 @@
 
 
 def _draw_calls(service: str, method: str, seed: int) -> Sequence[LoadCall]:
-    times = poisson_times(lambda _s: RATE_PER_S, LOAD_S, seed)
+    times = poisson_times(lambda _s: RATE_PER_S, LOAD_DURATION_S, seed)
     return [
         LoadCall(at_s, service, method, f"card {number}", 1, 5, DEADLINE_S)
         for number, at_s in enumerate(times)
@@ -91,9 +91,9 @@
 def _figures(outcomes: Sequence[LoadOutcome], reached: int) -> Mapping[str, float]:
     during = [o for o in outcomes if FAULT_FROM_S <= o.call.at_s < FAULT_TO_S]
     outside = len(outcomes) - len(during)
-    failed_after = [o.call.at_s for o in outcomes if o.call.at_s >= FAULT_TO_S and not o.whole]
+    failed_after = [o.call.at_s for o in outcomes if o.call.at_s >= FAULT_TO_S and not o.completed]
     return {
         "load": (reached - outside) / max(1, len(during)),
-        "ok": sum(o.whole for o in during) / max(1, len(during)),
+        "ok": sum(o.completed for o in during) / max(1, len(during)),
         "back_s": max(failed_after, default=FAULT_TO_S) - FAULT_TO_S,
     }
--- a/samphirecleat/bench/_routing.py
+++ b/samphirecleat/bench/_routing.py
@@ -1,8 +1,8 @@
-"""Bench of the choice of target: real nodes that see only their own traffic.
+"""Bench of routing: nodes choose targets and see only their own traffic.
 
-Nine nodes before five unequal engines, one of them three times slower than the
-others, with reports a fifth of a second old, a cache that holds a fifth of the
-prefixes, and calls that share prefixes by a Zipf law.
+Nine real nodes in front of five unequal engines, one of them three times slower than the others.
+Load reports are 0.2 s old, the cache of an engine holds a fifth of the prefixes, and the prefixes
+of calls have a Zipf distribution.
 """
 
 import random
@@ -25,14 +25,14 @@
 from ._open_load import LoadCall, LoadOutcome, milliseconds, poisson_times, send_load
 
 DEFAULT_SEED: Final = 11
-NODES: Final = 9
-LOAD_S: Final = 3.0
+NODE_COUNT: Final = 9
+LOAD_DURATION_S: Final = 3.0
 RATE_PER_S: Final = 110.0
 REPEATS: Final = 2
-PREFIXES: Final = 60
+PREFIX_COUNT: Final = 60
 CACHE_SIZE: Final = 12
 PREFILL_S: Final = 0.12
-TOKENS: Final = 10
+MAX_TOKENS: Final = 10
 VARIANTS: Final[Mapping[str, RoutingPolicy]] = {
     "prefix affinity": PrefixAffinity(),
     "two choices": TwoChoices(),
@@ -43,17 +43,20 @@
 
 
 async def run(seed: int) -> BenchResult:
-    """Run every variant on the same arrivals."""
+    """Run every variant with the same arrivals."""
     rows = [
         await run_repeats(name, partial(_run_once, policy), seed, REPEATS)
         for name, policy in VARIANTS.items()
     ]
-    note = f"{NODES} nodes, 5 engines, {RATE_PER_S:g} calls/s for {LOAD_S:g} s; milliseconds"
+    note = (
+        f"{NODE_COUNT} nodes, 5 engines, {RATE_PER_S:g} calls/s for {LOAD_DURATION_S:g} s; "
+        "milliseconds"
+    )
     return BenchResult("routing", seed, rows, note)
 
 
 async def _run_once(policy: RoutingPolicy, seed: int) -> Mapping[str, float]:
-    fleet = Fleet(DEPLOYMENTS["los-aromos"], NODES, seed, Policies(routing=policy))
+    fleet = Fleet(DEPLOYMENTS["los-aromos"], NODE_COUNT, seed, Policies(routing=policy))
     await fleet.start()
     try:
         _make_unequal(fleet.engines)
@@ -75,12 +78,12 @@
 
 def _draw_calls(service: str, seed: int) -> Sequence[LoadCall]:
     rng = random.Random(seed)
-    weights = [1.0 / rank for rank in range(1, PREFIXES + 1)]
+    weights = [1.0 / rank for rank in range(1, PREFIX_COUNT + 1)]
     calls = []
-    for at_s in poisson_times(lambda _now_s: RATE_PER_S, LOAD_S, seed):
-        prefix = rng.choices(range(PREFIXES), weights)[0]
+    for at_s in poisson_times(lambda _now_s: RATE_PER_S, LOAD_DURATION_S, seed):
+        prefix = rng.choices(range(PREFIX_COUNT), weights)[0]
         prompt = f"shared instructions number {prefix:04}".ljust(32) + f" {rng.random()}"
-        calls.append(LoadCall(at_s, service, "generate", prompt, TOKENS, 5, 10.0))
+        calls.append(LoadCall(at_s, service, "generate", prompt, MAX_TOKENS, 5, 10.0))
     return calls
 
 
@@ -98,5 +101,5 @@
         "hit_ratio": hits / max(1, hits + misses),
         "busiest_share": max(runs) / max(1, sum(runs)),
         "refused": float(sum(outcome.refused for outcome in outcomes)),
-        "answered": float(sum(outcome.whole for outcome in outcomes)),
+        "answered": float(sum(outcome.completed for outcome in outcomes)),
     }
