--- a/samphirecleat/bench/_loads.py
+++ b/samphirecleat/bench/_loads.py
@@ -1,10 +1,10 @@
-"""Loads of weights: which engine loads which model's version, replayed in simulated time.
+"""Bench of weight loads: which engine loads which model's version, in simulated time.
 
-Trainers of several models share the engines. Each asks for its next step once the version
-that its last but one step led to is named, and a step accepts that version and the one
-before. The decision code of the holder gives the loads, that of the runner places the items;
-the baseline decides for each model by itself, as one would for a single one. No node, no
-socket and no clock takes part, so a seed gives the same figures each time.
+Trainers of several models share the engines. A trainer requests its next step once the version
+trained from its last step but one is announced; a step accepts that version, the one before it
+and later ones. The product's code decides the loads, as the holder of the duty does, and places
+the items, as a runner does. The baseline decides for each model separately, as would suffice for a
+single model. No nodes, sockets or clocks are involved, so the figures depend on the seed alone.
 """
 
 import math
@@ -30,10 +30,10 @@
 )
 from ._harness import BenchResult, BenchRow, run_repeats
 from ._planning import (
-    DUE_S,
-    EVENT_S,
-    EVERY_S,
-    TOKEN_S,
+    SECONDS_PER_EVENT,
+    SECONDS_PER_TOKEN,
+    STEP_DEADLINE_S,
+    STEP_INTERVAL_S,
     TOKENS_PER_EVENT,
     draw_events,
     draw_hint_tokens,
@@ -41,70 +41,75 @@
 
 DEFAULT_SEED: Final = 7
 REPEATS: Final = 4
-# One site of today: engines, places and memory of each, three trainers.
-ENGINES: Final = 6
-PLACES: Final = 12
-MEMORY_TOKENS: Final = 116_068
+# One current site: engines, slots and memory of each, three trainers.
+ENGINE_COUNT: Final = 6
+SLOTS_PER_ENGINE: Final = 12
+MEMORY_TOKENS_PER_ENGINE: Final = 116_068
 MODELS: Final = ("a", "b", "c")
-TRAIN_S: Final = 1.0
+TRAINING_S: Final = 1.0
 GROUP_SIZE: Final = 4
 PROMPT_TOKENS: Final = 1_016
-# A load takes this long, and as many times longer as more than the knee load at once.
+# Duration of a load. If more than ``KNEE`` engines load at once, they share the store's bandwidth
+# and each load slows down in proportion.
 LOAD_S: Final = 0.9
 KNEE: Final = 2
-NO_KNEE: Final = 1_000
-# Engines are looked at some time after an order, and again until they have the version.
-FIRST_LOOK_S: Final = 0.7
-NEXT_LOOK_S: Final = 0.3
-GIVE_UP_S: Final = 12.0
+UNLIMITED_KNEE: Final = 1_000
+# An engine is polled some time after its load was ordered, then regularly until the load is done.
+FIRST_POLL_DELAY_S: Final = 0.7
+POLL_INTERVAL_S: Final = 0.3
+STEP_TIMEOUT_S: Final = 12.0
 TICK_S: Final = 0.05
-END_S: Final = 40.0
-BASELINE_SHARE: Final = 0.4
+DURATION_S: Final = 40.0
+BASELINE_LOADING_SHARE: Final = 0.4
 
 
-class LoadsPattern(NamedTuple):
-    """A load to replay: items a step, when nobody orders, when an engine is lost.
+class LoadsWorkload(NamedTuple):
+    """A workload: items per step, and the times at which orders pause or an engine is lost.
 
-    The store slows loads down beyond ``knee`` at once, and from ``knee_changes_at_s`` on beyond
-    ``later_knee``.
+    No loads are ordered from the first to the second time of ``orders_paused_s``. Loads slow down
+    if more than ``knee`` run at once; from ``knee_changes_at_s`` on ``later_knee`` applies instead.
     """
 
     name: str
     items: int
-    no_orders_s: tuple[float, float] = (math.inf, math.inf)
-    lost_at_s: float = math.inf
-    engines: int = ENGINES
-    places: int = PLACES
+    orders_paused_s: tuple[float, float] = (math.inf, math.inf)
+    engine_lost_at_s: float = math.inf
+    engines: int = ENGINE_COUNT
+    slots: int = SLOTS_PER_ENGINE
     knee: int = KNEE
     later_knee: int = KNEE
     knee_changes_at_s: float = math.inf
 
     def knee_at(self, now_s: float) -> int:
-        """Return beyond how many loads the store slows down at a moment."""
+        """Return the number of concurrent loads beyond which loads slow down at a time."""
         return self.later_knee if now_s >= self.knee_changes_at_s else self.knee
 
 
-PATTERNS: Final[Sequence[LoadsPattern]] = (
-    LoadsPattern("calm", 20),
-    LoadsPattern("peak", 40),
-    LoadsPattern("the holder is cut off", 32, no_orders_s=(14.0, 21.0)),
-    LoadsPattern("an engine is lost", 32, lost_at_s=12.0),
-    LoadsPattern("one of five is lost", 28, lost_at_s=12.0, engines=5),
-    LoadsPattern("knee 1 of 6", 32, knee=1),
-    LoadsPattern("knee 10 of 25", 96, engines=25, places=6, knee=10),
-    LoadsPattern("no knee", 32, knee=NO_KNEE),
-    LoadsPattern("knee 1, from 20 s on none", 32, knee=1, later_knee=NO_KNEE, knee_changes_at_s=20),
-    LoadsPattern("no knee, from 20 s on 1", 32, knee=NO_KNEE, later_knee=1, knee_changes_at_s=20),
+WORKLOADS: Final[Sequence[LoadsWorkload]] = (
+    LoadsWorkload("calm", 20),
+    LoadsWorkload("peak", 40),
+    LoadsWorkload("the holder is cut off", 32, orders_paused_s=(14.0, 21.0)),
+    LoadsWorkload("an engine is lost", 32, engine_lost_at_s=12.0),
+    LoadsWorkload("one of five is lost", 28, engine_lost_at_s=12.0, engines=5),
+    LoadsWorkload("knee 1 of 6", 32, knee=1),
+    LoadsWorkload("knee 10 of 25", 96, engines=25, slots=6, knee=10),
+    LoadsWorkload("no knee", 32, knee=UNLIMITED_KNEE),
+    LoadsWorkload(
+        "knee 1, from 20 s on none", 32, knee=1, later_knee=UNLIMITED_KNEE, knee_changes_at_s=20
+    ),
+    LoadsWorkload(
+        "no knee, from 20 s on 1", 32, knee=UNLIMITED_KNEE, later_knee=1, knee_changes_at_s=20
+    ),
 )
 
-Decide = Callable[[Sequence[OrderableEngine], Sequence[ModelDemand]], Sequence[Load]]
+DecideLoads = Callable[[Sequence[OrderableEngine], Sequence[ModelDemand]], Sequence[Load]]
 
 
-def each_for_itself(
+def decide_per_model(
     engines: Sequence[OrderableEngine], demands: Sequence[ModelDemand]
 ) -> Sequence[Load]:
-    """Load every version to every engine that runs nothing of the model, model by model."""
-    free = max(1, round(len(engines) * BASELINE_SHARE))
+    """Load each model's version on every engine without a run of it, one model after another."""
+    free = max(1, round(len(engines) * BASELINE_LOADING_SHARE))
     free -= sum(bool(engine.loading) for engine in engines)
     loads: list[Load] = []
     taken = {engine.instance for engine in engines if engine.loading}
@@ -118,9 +123,9 @@
     return loads
 
 
-VARIANTS: Final[Mapping[str, Decide]] = {
+VARIANTS: Final[Mapping[str, DecideLoads]] = {
     "all models together": decide_loads,
-    "each for itself": each_for_itself,
+    "each for itself": decide_per_model,
 }
 
 
@@ -130,19 +135,19 @@
     item_id: str
     events: int
     hint_tokens: int
-    made: float = 0.0
+    events_done: float = 0.0
     engine: str = ""
 
     @property
-    def whole(self) -> bool:
-        return self.made >= self.events
+    def is_complete(self) -> bool:
+        return self.events_done >= self.events
 
 
 @dataclass
 class _Step:
     model: str
     number: int
-    asked_at_s: float
+    requested_at_s: float
     items: list[_Item] = field(default_factory=list)
     ended_at_s: float = math.inf
     longest_wait_s: float = 0.0
@@ -159,96 +164,100 @@
     loading: str = ""
     loading_version: int = 0
     load_left_s: float = 0.0
-    look_at_s: float = 0.0
+    next_poll_s: float = 0.0
 
 
 class LoadsReplay:
-    """One load pattern under one way to decide the loads."""
+    """Simulates one workload with one way to decide the loads."""
 
-    def __init__(self, pattern: LoadsPattern, decide: Decide, seed: int) -> None:
-        """Draw lengths and hints from ``seed``, the same for every way to decide."""
-        self._pattern = pattern
+    def __init__(self, workload: LoadsWorkload, decide: DecideLoads, seed: int) -> None:
+        """Draw the same lengths and hints from ``seed`` for every variant."""
+        self._workload = workload
         self._decide = decide
-        # One generator a model: what one trainer gets does not depend on the others' pace.
+        # One generator per model, so that a trainer's draws do not depend on the others' pace.
         self._rngs = {model: random.Random(f"{seed}{model}") for model in MODELS}
-        self._named = dict.fromkeys(MODELS, 1)
+        self._announced_versions = dict.fromkeys(MODELS, 1)
         self._engines = [
-            _Engine(f"e{at}", dict.fromkeys(MODELS, 1)) for at in range(pattern.engines)
+            _Engine(f"e{index}", dict.fromkeys(MODELS, 1)) for index in range(workload.engines)
         ]
-        self._short: Mapping[str, Shortage] = {}
+        self._shortages: Mapping[str, Shortage] = {}
         self.now_s = 0.0
         self.steps: list[_Step] = []
         self.loads = 0
 
     def run(self) -> Mapping[str, float]:
-        """Play the pattern to its end and return its figures."""
-        while self.now_s < END_S:
+        """Run the simulation and return its figures."""
+        while self.now_s < DURATION_S:
             if (
-                self.now_s >= self._pattern.lost_at_s
-                and len(self._engines) == self._pattern.engines
+                self.now_s >= self._workload.engine_lost_at_s
+                and len(self._engines) == self._workload.engines
             ):
                 self._lose_engine()
-            self._name_and_ask()
-            self._place()
-            start_s, end_s = self._pattern.no_orders_s
+            self._announce_and_request()
+            self._place_items()
+            start_s, end_s = self._workload.orders_paused_s
             if not start_s <= self.now_s < end_s:
-                self._order()
+                self._order_loads()
             self._advance()
             self.now_s += TICK_S
         ended = [step for step in self.steps if step.ended_at_s < math.inf]
-        in_time = sum(step.ended_at_s - step.asked_at_s <= DUE_S for step in ended)
-        owed = len(MODELS) * int(END_S / EVERY_S)
+        in_time = sum(step.ended_at_s - step.requested_at_s <= STEP_DEADLINE_S for step in ended)
+        expected = len(MODELS) * int(DURATION_S / STEP_INTERVAL_S)
         return {
-            "in_time": in_time / owed,
+            "in_time": in_time / expected,
             "longest_wait_s": max(step.longest_wait_s for step in self.steps),
             "loads": float(self.loads),
         }
 
     def _lose_engine(self) -> None:
         lost = self._engines.pop()
-        for item in self._runs():
+        for item in self._active_runs():
             if item.engine == lost.instance:
                 item.engine = ""
 
-    def _runs(self) -> Sequence[_Item]:
-        return [i for step in self._open() for i in step.items if i.engine and not i.whole]
+    def _active_runs(self) -> Sequence[_Item]:
+        return [
+            i for step in self._open_steps() for i in step.items if i.engine and not i.is_complete
+        ]
 
-    def _open(self) -> Sequence[_Step]:
+    def _open_steps(self) -> Sequence[_Step]:
         return [step for step in self.steps if step.ended_at_s == math.inf]
 
-    def _name_and_ask(self) -> None:
+    def _announce_and_request(self) -> None:
         for model in MODELS:
-            mine = [step for step in self.steps if step.model == model]
-            trained = sum(step.ended_at_s + TRAIN_S <= self.now_s for step in mine)
-            self._named[model] = 1 + trained
-            number = len(mine)
-            if self.now_s >= EVERY_S * number and self._named[model] >= max(1, number):
+            own_steps = [step for step in self.steps if step.model == model]
+            trained = sum(step.ended_at_s + TRAINING_S <= self.now_s for step in own_steps)
+            self._announced_versions[model] = 1 + trained
+            number = len(own_steps)
+            if self.now_s >= STEP_INTERVAL_S * number and self._announced_versions[model] >= max(
+                1, number
+            ):
                 self.steps.append(self._draw_step(model, number))
 
     def _draw_step(self, model: str, number: int) -> _Step:
         rng = self._rngs[model]
         step = _Step(model, number, self.now_s)
-        for at in range(self._pattern.items):
+        for index in range(self._workload.items):
             events = draw_events(rng)
             hint_tokens = draw_hint_tokens(rng, events)
-            step.items.append(_Item(step, f"{model}{number}-{at}", events, hint_tokens))
+            step.items.append(_Item(step, f"{model}{number}-{index}", events, hint_tokens))
         return step
 
-    def _place(self) -> None:
-        waiting = {i.item_id: i for s in self._open() for i in s.items if not i.engine}
-        pending = [self._pending(item) for item in waiting.values()]
-        ordered = order_items(pending, {}, TOKEN_S)
-        placements = place_items(ordered, self._engine_views(), TOKEN_S)
-        self._short = shortages(ordered, placements, TOKEN_S)
+    def _place_items(self) -> None:
+        waiting = {i.item_id: i for s in self._open_steps() for i in s.items if not i.engine}
+        pending = [self._pending_item(item) for item in waiting.values()]
+        ordered = order_items(pending, {}, SECONDS_PER_TOKEN)
+        placements = place_items(ordered, self._engine_views(), SECONDS_PER_TOKEN)
+        self._shortages = shortages(ordered, placements, SECONDS_PER_TOKEN)
         for placement in placements:
             item = waiting[placement.item.item_id]
             item.engine = placement.instance
-            if not item.made:
-                waited_s = self.now_s - item.step.asked_at_s
+            if not item.events_done:
+                waited_s = self.now_s - item.step.requested_at_s
                 item.step.longest_wait_s = max(item.step.longest_wait_s, waited_s)
 
-    def _pending(self, item: _Item) -> PendingItem:
-        made_tokens = int(item.made) * TOKENS_PER_EVENT
+    def _pending_item(self, item: _Item) -> PendingItem:
+        tokens_done = int(item.events_done) * TOKENS_PER_EVENT
         group = (
             f"{item.step.model}{item.step.number}-{int(item.item_id.split('-')[1]) // GROUP_SIZE}"
         )
@@ -256,102 +265,105 @@
             f"{item.step.model}{item.step.number}",
             item.item_id,
             group,
-            item.step.asked_at_s + DUE_S - self.now_s,
+            item.step.requested_at_s + STEP_DEADLINE_S - self.now_s,
             False,
-            max(TOKENS_PER_EVENT, item.hint_tokens - made_tokens),
-            PROMPT_TOKENS + made_tokens,
+            max(TOKENS_PER_EVENT, item.hint_tokens - tokens_done),
+            PROMPT_TOKENS + tokens_done,
             item.step.min_version,
             item.step.model,
         )
 
     def _engine_views(self) -> Sequence[EngineView]:
-        runs = self._runs()
+        runs = self._active_runs()
         views = []
         for engine in self._engines:
-            mine = [run for run in runs if run.engine == engine.instance]
+            engine_runs = [run for run in runs if run.engine == engine.instance]
             versions = {m: v for m, v in engine.versions.items() if m != engine.loading}
-            planned = sum(planned_tokens(self._pending(run), is_long=False) for run in mine)
+            planned = sum(
+                planned_tokens(self._pending_item(run), is_long=False) for run in engine_runs
+            )
             views.append(
                 EngineView(
-                    engine.instance, versions, self._pattern.places, MEMORY_TOKENS, len(mine),
-                    planned, 1.0, True, frozenset(),
+                    engine.instance, versions, self._workload.slots, MEMORY_TOKENS_PER_ENGINE,
+                    len(engine_runs), planned, 1.0, True, frozenset(),
                 )
             )  # fmt: skip
         return views
 
-    def _order(self) -> None:
-        runs = self._runs()
+    def _order_loads(self) -> None:
+        runs = self._active_runs()
         views = []
         for engine in self._engines:
-            mine = [run.step.model for run in runs if run.engine == engine.instance]
-            counts = {model: mine.count(model) for model in MODELS}
+            run_models = [run.step.model for run in runs if run.engine == engine.instance]
+            counts = {model: run_models.count(model) for model in MODELS}
             views.append(
                 OrderableEngine(engine.instance, dict(engine.versions), counts, engine.loading)
             )
-        demands = [self._demand(model) for model in MODELS if self._named[model] > 1]
+        demands = [self._demand(model) for model in MODELS if self._announced_versions[model] > 1]
         by_name = {engine.instance: engine for engine in self._engines}
         for load in self._decide(views, demands):
             engine = by_name[load.instance]
             engine.loading, engine.load_left_s = load.model, LOAD_S
-            engine.look_at_s = self.now_s + FIRST_LOOK_S
-            engine.loading_version = self._named[load.model]
+            engine.next_poll_s = self.now_s + FIRST_POLL_DELAY_S
+            engine.loading_version = self._announced_versions[load.model]
             self.loads += 1
 
     def _demand(self, model: str) -> ModelDemand:
         return model_demand(
             model,
-            self._named[model],
+            self._announced_versions[model],
             1,
-            [step.min_version for step in self._open() if step.model == model],
-            engines_for(self._pattern.items, self._pattern.places),
+            [step.min_version for step in self._open_steps() if step.model == model],
+            engines_for(self._workload.items, self._workload.slots),
             keeps_runs=True,
-            shortage=self._short.get(model),
+            shortage=self._shortages.get(model),
         )
 
     def _advance(self) -> None:
         loading = [engine for engine in self._engines if engine.load_left_s > 0.0]
         for engine in loading:
-            knee = self._pattern.knee_at(self.now_s)
+            knee = self._workload.knee_at(self.now_s)
             engine.load_left_s -= TICK_S * min(1.0, knee / len(loading))
         for engine in self._engines:
-            if engine.loading and engine.look_at_s <= self.now_s:
-                self._look(engine)
-        for item in self._runs():
-            item.made += TICK_S / EVENT_S
-        for step in self._open():
-            age_s = self.now_s - step.asked_at_s
-            if all(item.whole for item in step.items) or age_s >= GIVE_UP_S:
+            if engine.loading and engine.next_poll_s <= self.now_s:
+                self._poll(engine)
+        for item in self._active_runs():
+            item.events_done += TICK_S / SECONDS_PER_EVENT
+        for step in self._open_steps():
+            age_s = self.now_s - step.requested_at_s
+            if all(item.is_complete for item in step.items) or age_s >= STEP_TIMEOUT_S:
                 step.ended_at_s = self.now_s
                 if not all(item.engine for item in step.items):
                     step.longest_wait_s = max(step.longest_wait_s, age_s)
 
-    def _look(self, engine: _Engine) -> None:
-        """See how far a load is, as the holder does."""
+    def _poll(self, engine: _Engine) -> None:
+        """Poll an engine for the end of its load, as the holder does."""
         if engine.load_left_s > 0.0:
-            engine.look_at_s = self.now_s + NEXT_LOOK_S
+            engine.next_poll_s = self.now_s + POLL_INTERVAL_S
             return
         engine.versions[engine.loading] = engine.loading_version
         engine.loading = ""
 
 
 async def run(seed: int) -> BenchResult:
-    """Replay every pattern under every way to decide."""
+    """Simulate every workload with every variant."""
     rows: list[BenchRow] = []
     for name, decide in VARIANTS.items():
         figures: dict[str, float] = {}
-        for pattern in PATTERNS:
+        for workload in WORKLOADS:
 
             async def run_once(
-                at: int, pattern: LoadsPattern = pattern, decide: Decide = decide
+                run_seed: int, workload: LoadsWorkload = workload, decide: DecideLoads = decide
             ) -> Mapping[str, float]:
-                return LoadsReplay(pattern, decide, at).run()
+                return LoadsReplay(workload, decide, run_seed).run()
 
             row = await run_repeats(name, run_once, seed, REPEATS)
-            figures |= {f"{pattern.name}: {key}": value for key, value in row.figures.items()}
+            figures |= {f"{workload.name}: {key}": value for key, value in row.figures.items()}
         rows.append(BenchRow(name, REPEATS, figures))
     note = (
-        f"steps of three models, one each {EVERY_S} s, on {ENGINES} engines with {PLACES} places "
-        f"and a store that slows down beyond {KNEE} loads, where nothing else is said; "
-        f"in time: share of the steps owed that were whole within {DUE_S} s"
+        f"steps of three models, one each {STEP_INTERVAL_S} s, on {ENGINE_COUNT} engines with "
+        f"{SLOTS_PER_ENGINE} slots and a store that slows down beyond {KNEE} loads, unless the "
+        "name says otherwise; in time: share of the expected steps that were complete within "
+        f"{STEP_DEADLINE_S} s"
     )
     return BenchResult("loads", seed, rows, note)
--- a/samphirecleat/bench/_planning.py
+++ b/samphirecleat/bench/_planning.py
@@ -1,8 +1,8 @@
-"""Planning: which item starts next and on which engine, replayed in simulated time.
+"""Bench of planning: which item starts next and on which engine, in simulated time.
 
-The decision code of a service's runner places the steps of trainers on engines under load
-patterns taken from played days; the baselines are the two simplest ways to place. No node, no
-socket and no clock takes part, so a seed gives the same figures each time.
+The planner of a service's runner places the steps of trainers on engines. The workloads are taken
+from simulated days of the whole system; the baselines are the two simplest planners. No nodes,
+sockets or clocks are involved, so the figures depend on the seed alone.
 """
 
 import random
@@ -15,78 +15,79 @@
 
 DEFAULT_SEED: Final = 7
 REPEATS: Final = 6
-# One site of today: engines, places and memory of each, and its trainer's steps.
-ENGINES: Final = 5
-PLACES: Final = 12
-MEMORY_TOKENS: Final = 44_918
-GROUPS: Final = 47
+# One current site: engines, slots and memory of each, and its trainer's steps.
+ENGINE_COUNT: Final = 5
+SLOTS_PER_ENGINE: Final = 12
+MEMORY_TOKENS_PER_ENGINE: Final = 44_918
+GROUPS_PER_STEP: Final = 47
 GROUP_SIZE: Final = 4
-WANTED_SHARE: Final = 0.9
-EVERY_S: Final = 4.0
-DUE_S: Final = 7.5
-GIVE_UP_S: Final = 12.0
-TRAIN_S: Final = 0.5
+REQUIRED_GROUP_SHARE: Final = 0.9
+STEP_INTERVAL_S: Final = 4.0
+STEP_DEADLINE_S: Final = 7.5
+STEP_TIMEOUT_S: Final = 12.0
+TRAINING_S: Final = 0.5
 PROMPT_TOKENS: Final = 271
 TOKENS_PER_EVENT: Final = 64
-EVENT_S: Final = 0.04
-# Lengths in events: mostly short, some five times as long.
+SECONDS_PER_EVENT: Final = 0.04
+# Lengths in events are log-normal; a share of them is ``TAIL_FACTOR`` times as long.
 MEAN_EVENTS: Final = 23.8
-SPREAD: Final = 0.84
+LENGTH_SIGMA: Final = 0.84
 TAIL_SHARE: Final = 0.08
-TAIL_TIMES: Final = 5.0
-MOST_EVENTS: Final = 171
-HINT_SPREAD: Final = 0.5
+TAIL_FACTOR: Final = 5.0
+MAX_EVENTS: Final = 171
+HINT_SIGMA: Final = 0.5
 TICK_S: Final = 0.05
-END_S: Final = 40.0
+DURATION_S: Final = 40.0
 
 
-class Trouble(NamedTuple):
-    """From ``at_s`` on, for ``for_s``, the first ``engines`` take ``slowness`` times as long.
+class EngineFault(NamedTuple):
+    """A fault of the first ``engines`` engines that starts at ``at_s`` and lasts ``duration_s``.
 
-    A slowness of 0 means that they are gone, and their runs with them.
+    They take ``slowdown`` times as long for an event. A value of 0 means that they are down and
+    that their runs are lost.
     """
 
     at_s: float
-    for_s: float
+    duration_s: float
     engines: int
-    slowness: float
+    slowdown: float
 
 
-class LoadPattern(NamedTuple):
-    """A load to replay: steps of ``scale`` times the usual size, and what goes wrong."""
+class Workload(NamedTuple):
+    """A workload: steps of ``scale`` times the usual size, and faults of engines."""
 
     name: str
     scale: float = 1.0
     trainers: int = 1
-    troubles: Sequence[Trouble] = ()
+    faults: Sequence[EngineFault] = ()
 
 
-PATTERNS: Final[Sequence[LoadPattern]] = (
-    LoadPattern("calm", 0.6),
-    LoadPattern("peak", 1.1),
-    LoadPattern("burst", 0.8, trainers=2),
-    LoadPattern("a fifth crashes", 1.0, troubles=[Trouble(8.0, 5.0, 1, 0.0)]),
-    LoadPattern("a fifth is slow", 1.0, troubles=[Trouble(6.0, 8.0, 1, 3.5)]),
-    LoadPattern("everything restarts", 1.0, troubles=[Trouble(14.0, 1.5, ENGINES, 0.0)]),
+WORKLOADS: Final[Sequence[Workload]] = (
+    Workload("calm", 0.6),
+    Workload("peak", 1.1),
+    Workload("burst", 0.8, trainers=2),
+    Workload("a fifth crashes", 1.0, faults=[EngineFault(8.0, 5.0, 1, 0.0)]),
+    Workload("a fifth is slow", 1.0, faults=[EngineFault(6.0, 8.0, 1, 3.5)]),
+    Workload("everything restarts", 1.0, faults=[EngineFault(14.0, 1.5, ENGINE_COUNT, 0.0)]),
 )
 
-Plan = Callable[
+Planner = Callable[
     [Sequence[PendingItem], Sequence[EngineView], Mapping[str, float]], Sequence[Placement]
 ]
-TOKEN_S: Final = EVENT_S / TOKENS_PER_EVENT
+SECONDS_PER_TOKEN: Final = SECONDS_PER_EVENT / TOKENS_PER_EVENT
 
 
-def plan_by_spare_time(
+def plan_by_slack(
     pending: Sequence[PendingItem], engines: Sequence[EngineView], shares: Mapping[str, float]
 ) -> Sequence[Placement]:
-    """Plan as a service's runner does."""
-    return place_items(order_items(pending, shares, TOKEN_S), engines, TOKEN_S)
+    """Plan as a service's runner does: the items with the least slack first."""
+    return place_items(order_items(pending, shares, SECONDS_PER_TOKEN), engines, SECONDS_PER_TOKEN)
 
 
-def plan_first_come(
+def plan_in_arrival_order(
     pending: Sequence[PendingItem], engines: Sequence[EngineView], shares: Mapping[str, float]
 ) -> Sequence[Placement]:
-    """Start items as they came, each on the engine with fewest runs; memory is not planned."""
+    """Start items in order of arrival, each on the engine with fewest runs; ignore memory."""
     del shares
     views = {engine.instance: engine for engine in engines if engine.accepts}
     placements = []
@@ -103,13 +104,13 @@
 def plan_shortest_first(
     pending: Sequence[PendingItem], engines: Sequence[EngineView], shares: Mapping[str, float]
 ) -> Sequence[Placement]:
-    """Start what is expected to end first, so that many items end early."""
-    return plan_first_come(sorted(pending, key=lambda i: i.expected_tokens), engines, shares)
+    """Start the items with the fewest expected tokens first."""
+    return plan_in_arrival_order(sorted(pending, key=lambda i: i.expected_tokens), engines, shares)
 
 
-VARIANTS: Final[Mapping[str, Plan]] = {
-    "by spare time": plan_by_spare_time,
-    "first come": plan_first_come,
+VARIANTS: Final[Mapping[str, Planner]] = {
+    "by spare time": plan_by_slack,
+    "first come": plan_in_arrival_order,
     "shortest first": plan_shortest_first,
 }
 
@@ -121,7 +122,7 @@
     group: str
     events: int
     hint_tokens: int
-    made: int = 0
+    events_done: int = 0
     progress_s: float = 0.0
     engine: int = -1
 
@@ -130,23 +131,23 @@
 class _Step:
     step_id: str
     trainer: int
-    asked_at_s: float
+    requested_at_s: float
     items: list[_Item]
     ended_at_s: float = -1.0
-    whole: bool = False
-    left: dict[str, int] = field(default_factory=dict)
+    is_complete: bool = False
+    remaining: dict[str, int] = field(default_factory=dict)
 
     @property
-    def wanted_groups(self) -> int:
-        return int(len(self.left) * WANTED_SHARE)
+    def required_groups(self) -> int:
+        return int(len(self.remaining) * REQUIRED_GROUP_SHARE)
 
 
-class Replay:
-    """One load pattern under one way to plan."""
+class PlanningReplay:
+    """Simulates one workload with one planner."""
 
-    def __init__(self, pattern: LoadPattern, plan: Plan, seed: int) -> None:
-        """Draw lengths and hints from ``seed``, the same for every way to plan."""
-        self._pattern = pattern
+    def __init__(self, workload: Workload, plan: Planner, seed: int) -> None:
+        """Draw the same lengths and hints from ``seed`` for every planner."""
+        self._workload = workload
         self._plan = plan
         self._rng = random.Random(seed)
         self.now_s = 0.0
@@ -154,95 +155,98 @@
         self.most_running = 0
 
     def run(self) -> Mapping[str, float]:
-        """Play the pattern to its end and return its figures."""
-        while self.now_s < END_S:
-            self._ask()
-            self._start()
+        """Run the simulation and return its figures."""
+        while self.now_s < DURATION_S:
+            self._request_steps()
+            self._start_items()
             self._advance()
             self.now_s += TICK_S
         ended = [step for step in self.steps if step.ended_at_s >= 0.0]
-        took_s = [step.ended_at_s - step.asked_at_s for step in ended]
-        made = sum(item.made for step in self.steps for item in step.items)
-        wasted = sum(i.made for step in ended for i in step.items if i.made < i.events)
+        took_s = [step.ended_at_s - step.requested_at_s for step in ended]
+        generated = sum(item.events_done for step in self.steps for item in step.items)
+        wasted = sum(
+            i.events_done for step in ended for i in step.items if i.events_done < i.events
+        )
         in_time = sum(
-            step.whole and took <= DUE_S for step, took in zip(ended, took_s, strict=True)
+            step.is_complete and took <= STEP_DEADLINE_S
+            for step, took in zip(ended, took_s, strict=True)
         )
         return {
             "steps": float(len(ended)),
             "whole_in_time": in_time / len(ended),
             "step_s": sum(took_s) / len(took_s),
-            "wasted_share": wasted / made,
+            "wasted_share": wasted / generated,
         }
 
-    def _ask(self) -> None:
-        """Have each trainer ask for its next step: in turn, and one step ahead."""
-        for trainer in range(self._pattern.trainers):
-            mine = [step for step in self.steps if step.trainer == trainer]
-            open_steps = [step for step in mine if step.ended_at_s < 0.0]
-            before = mine[-2] if len(mine) >= 2 else None
-            trained = before is None or 0.0 <= before.ended_at_s <= self.now_s - TRAIN_S
-            if len(open_steps) < 2 and trained and self.now_s >= EVERY_S * len(mine):
-                self.steps.append(self._draw_step(trainer, len(mine)))
+    def _request_steps(self) -> None:
+        """Request each trainer's next step, up to one step ahead of the step in progress."""
+        for trainer in range(self._workload.trainers):
+            own_steps = [step for step in self.steps if step.trainer == trainer]
+            open_steps = [step for step in own_steps if step.ended_at_s < 0.0]
+            previous = own_steps[-2] if len(own_steps) >= 2 else None
+            trained = previous is None or 0.0 <= previous.ended_at_s <= self.now_s - TRAINING_S
+            if len(open_steps) < 2 and trained and self.now_s >= STEP_INTERVAL_S * len(own_steps):
+                self.steps.append(self._draw_step(trainer, len(own_steps)))
 
     def _draw_step(self, trainer: int, number: int) -> _Step:
         step = _Step(f"t{trainer}-{number}", trainer, self.now_s, [])
-        for group in range(max(1, round(GROUPS * self._pattern.scale))):
-            name = f"{step.step_id}-g{group}"
-            step.left[name] = GROUP_SIZE
+        for group in range(max(1, round(GROUPS_PER_STEP * self._workload.scale))):
+            group_id = f"{step.step_id}-g{group}"
+            step.remaining[group_id] = GROUP_SIZE
             for number_in_group in range(GROUP_SIZE):
                 events = draw_events(self._rng)
                 hint_tokens = draw_hint_tokens(self._rng, events)
                 step.items.append(
-                    _Item(step, f"{name}-{number_in_group}", name, events, hint_tokens)
+                    _Item(step, f"{group_id}-{number_in_group}", group_id, events, hint_tokens)
                 )
         return step
 
-    def _start(self) -> None:
+    def _start_items(self) -> None:
         open_steps = [step for step in self.steps if step.ended_at_s < 0.0]
         waiting = {
             item.item_id: item
             for step in open_steps
             for item in step.items
-            if item.engine < 0 and item.made < item.events
+            if item.engine < 0 and item.events_done < item.events
         }
         if not waiting:
             return
-        pending = [self._pending(item) for item in waiting.values()]
-        shares = {step.step_id: WANTED_SHARE for step in open_steps}
+        pending = [self._pending_item(item) for item in waiting.values()]
+        shares = {step.step_id: REQUIRED_GROUP_SHARE for step in open_steps}
         for placement in self._plan(pending, self._engine_views(), shares):
             waiting[placement.item.item_id].engine = int(placement.instance)
 
-    def _pending(self, item: _Item) -> PendingItem:
-        made_tokens = item.made * TOKENS_PER_EVENT
-        due_in_s = item.step.asked_at_s + DUE_S - self.now_s
+    def _pending_item(self, item: _Item) -> PendingItem:
+        tokens_done = item.events_done * TOKENS_PER_EVENT
+        due_in_s = item.step.requested_at_s + STEP_DEADLINE_S - self.now_s
         return PendingItem(
             item.step.step_id,
             item.item_id,
             item.group,
             due_in_s,
             False,
-            max(TOKENS_PER_EVENT, item.hint_tokens - made_tokens),
-            PROMPT_TOKENS + made_tokens,
+            max(TOKENS_PER_EVENT, item.hint_tokens - tokens_done),
+            PROMPT_TOKENS + tokens_done,
             1,
             "m",
         )
 
     def _engine_views(self) -> Sequence[EngineView]:
         views = []
-        for engine in range(ENGINES):
+        for engine in range(ENGINE_COUNT):
             runs = self._runs_of(engine)
-            slowness = self._slowness(engine)
-            planned = sum(planned_tokens(self._pending(run), is_long=False) for run in runs)
+            slowdown = self._slowdown(engine)
+            planned = sum(planned_tokens(self._pending_item(run), is_long=False) for run in runs)
             views.append(
                 EngineView(
                     str(engine),
                     {"m": 1},
-                    PLACES,
-                    MEMORY_TOKENS,
+                    SLOTS_PER_ENGINE,
+                    MEMORY_TOKENS_PER_ENGINE,
                     len(runs),
                     planned,
-                    max(1.0, slowness),
-                    slowness > 0.0,
+                    max(1.0, slowdown),
+                    slowdown > 0.0,
                     frozenset(),
                 )
             )
@@ -257,82 +261,83 @@
             if item.engine == engine
         ]
 
-    def _slowness(self, engine: int) -> float:
-        for trouble in self._pattern.troubles:
-            if engine < trouble.engines and 0.0 <= self.now_s - trouble.at_s < trouble.for_s:
-                return trouble.slowness
+    def _slowdown(self, engine: int) -> float:
+        for fault in self._workload.faults:
+            if engine < fault.engines and 0.0 <= self.now_s - fault.at_s < fault.duration_s:
+                return fault.slowdown
         return 1.0
 
     def _advance(self) -> None:
-        """Make a tick's events; runs of an engine that is gone go on elsewhere later."""
+        """Generate the events of a tick; return the runs of an engine that is down to the queue."""
         running = 0
-        for engine in range(ENGINES):
-            slowness = self._slowness(engine)
+        for engine in range(ENGINE_COUNT):
+            slowdown = self._slowdown(engine)
             runs = self._runs_of(engine)
             running = max(running, len(runs))
             for item in runs:
-                if slowness == 0.0:
+                if slowdown == 0.0:
                     item.engine = -1
                     continue
-                item.progress_s += TICK_S / slowness
-                new = int(item.progress_s / EVENT_S)
-                item.progress_s -= new * EVENT_S
-                item.made = min(item.events, item.made + new)
-                if item.made == item.events:
+                item.progress_s += TICK_S / slowdown
+                new = int(item.progress_s / SECONDS_PER_EVENT)
+                item.progress_s -= new * SECONDS_PER_EVENT
+                item.events_done = min(item.events, item.events_done + new)
+                if item.events_done == item.events:
                     item.engine = -1
-                    item.step.left[item.group] -= 1
+                    item.step.remaining[item.group] -= 1
         self.most_running = max(self.most_running, running)
         for step in self.steps:
-            self._end(step)
+            self._end_if_due(step)
 
-    def _end(self, step: _Step) -> None:
-        """End a step once its trainer has what it waits for, or has waited too long."""
+    def _end_if_due(self, step: _Step) -> None:
+        """End a step once enough of its groups are complete or its timeout has passed."""
         if step.ended_at_s >= 0.0:
             return
-        whole_groups = sum(left == 0 for left in step.left.values())
-        step.whole = whole_groups >= step.wanted_groups
-        if step.whole or self.now_s - step.asked_at_s >= GIVE_UP_S:
+        complete_groups = sum(remaining == 0 for remaining in step.remaining.values())
+        step.is_complete = complete_groups >= step.required_groups
+        if step.is_complete or self.now_s - step.requested_at_s >= STEP_TIMEOUT_S:
             step.ended_at_s = self.now_s
             for item in step.items:
                 item.engine = -1
 
 
 def draw_hint_tokens(rng: random.Random, events: int) -> int:
-    """Draw what is told beforehand of a text's length: right at the median, often far off."""
+    """Draw a hint of a text's length in tokens: log-normal, its median at the true length."""
     return max(
-        TOKENS_PER_EVENT, int(events * rng.lognormvariate(0.0, HINT_SPREAD) * TOKENS_PER_EVENT)
+        TOKENS_PER_EVENT, int(events * rng.lognormvariate(0.0, HINT_SIGMA) * TOKENS_PER_EVENT)
     )
 
 
 def draw_events(rng: random.Random) -> int:
     """Draw a text's length in events."""
-    mean = MEAN_EVENTS / (1.0 + TAIL_SHARE * (TAIL_TIMES - 1.0))
-    events = mean * rng.lognormvariate(-SPREAD * SPREAD / 2.0, SPREAD)
+    mean = MEAN_EVENTS / (1.0 + TAIL_SHARE * (TAIL_FACTOR - 1.0))
+    events = mean * rng.lognormvariate(-LENGTH_SIGMA * LENGTH_SIGMA / 2.0, LENGTH_SIGMA)
     if rng.random() < TAIL_SHARE:
-        events *= TAIL_TIMES
-    return max(1, min(MOST_EVENTS, round(events)))
+        events *= TAIL_FACTOR
+    return max(1, min(MAX_EVENTS, round(events)))
 
 
 async def run(seed: int) -> BenchResult:
-    """Replay every pattern under every way to plan."""
+    """Simulate every workload with every planner."""
     rows: list[BenchRow] = []
     for name, plan in VARIANTS.items():
         runs = []
-        for pattern in PATTERNS:
+        for workload in WORKLOADS:
 
             async def run_once(
-                at: int, pattern: LoadPattern = pattern, plan: Plan = plan
+                run_seed: int, workload: Workload = workload, plan: Planner = plan
             ) -> Mapping[str, float]:
-                return Replay(pattern, plan, at).run()
+                return PlanningReplay(workload, plan, run_seed).run()
 
-            runs.append((pattern, await run_repeats(name, run_once, seed, REPEATS)))
+            runs.append((workload, await run_repeats(name, run_once, seed, REPEATS)))
         figures = {
-            f"{pattern.name}: in time": row.figures["whole_in_time"] for pattern, row in runs
+            f"{workload.name}: in time": row.figures["whole_in_time"] for workload, row in runs
         }
-        figures |= {f"{pattern.name}: step_s": row.figures["step_s"] for pattern, row in runs}
+        figures |= {f"{workload.name}: step_s": row.figures["step_s"] for workload, row in runs}
         rows.append(BenchRow(name, REPEATS, figures))
     note = (
-        f"steps of {GROUPS}x{GROUP_SIZE} items on {ENGINES} engines with {PLACES} places; in time:"
-        f" share of steps whose {WANTED_SHARE:.0%} of groups are whole within {DUE_S} s"
+        f"steps of {GROUPS_PER_STEP}x{GROUP_SIZE} items on {ENGINE_COUNT} engines with "
+        f"{SLOTS_PER_ENGINE} slots; in time: share of steps with {REQUIRED_GROUP_SHARE:.0%} of "
+        f"their groups complete within {STEP_DEADLINE_S} s"
     )
     return BenchResult("planning", seed, rows, note)
--- a/tests/bench/test_planning.py
+++ b/tests/bench/test_planning.py
@@ -1,53 +1,55 @@
-"""The plan of a runner, replayed under load patterns beside the simplest ways to place."""
+"""The planner of a runner, simulated beside the simplest planners."""
 
 import random
 
 import pytest
 
 from samphirecleat.bench._planning import (
-    MOST_EVENTS,
-    PATTERNS,
-    PLACES,
+    MAX_EVENTS,
+    SLOTS_PER_ENGINE,
     VARIANTS,
-    LoadPattern,
-    Replay,
+    WORKLOADS,
+    PlanningReplay,
+    Workload,
     draw_events,
 )
 
 SEED = 7
 
 
-@pytest.mark.parametrize("pattern", PATTERNS, ids=[pattern.name for pattern in PATTERNS])
-def test_steps_are_whole_earlier_than_with_the_simplest_plans(pattern: LoadPattern) -> None:
-    """Steps overlap, lengths vary tenfold, and engines crash, slow down or restart.
+@pytest.mark.parametrize("workload", WORKLOADS, ids=[workload.name for workload in WORKLOADS])
+def test_steps_complete_earlier_than_with_the_baselines(workload: Workload) -> None:
+    """Guards against long texts that start last and delay their step and its trainer.
 
-    Placed as they come, the longest texts start last and hold up their step, and the trainer
-    that waits for it.
+    Steps overlap, lengths vary tenfold, and engines crash, slow down or restart. This delay occurs
+    with items placed in order of arrival.
     """
-    figures = {name: Replay(pattern, plan, SEED).run() for name, plan in VARIANTS.items()}
+    figures = {name: PlanningReplay(workload, plan, SEED).run() for name, plan in VARIANTS.items()}
     policy = figures.pop("by spare time")
     assert policy["whole_in_time"] >= 0.9
-    # Without a queue all ways start everything at once; a difference is one of luck.
-    slack = 1.02 if pattern.name == "calm" else 1.0
+    # Without a queue every planner starts all items at once and differences are random.
+    slack = 1.02 if workload.name == "calm" else 1.0
     for baseline in figures.values():
         assert policy["step_s"] < slack * baseline["step_s"]
         assert policy["whole_in_time"] >= baseline["whole_in_time"] - 0.1
 
 
 @pytest.mark.parametrize("name", VARIANTS)
-def test_no_engine_gets_more_runs_than_it_has_places(name: str) -> None:
-    replay = Replay(PATTERNS[2], VARIANTS[name], SEED)
+def test_no_engine_gets_more_runs_than_it_has_slots(name: str) -> None:
+    replay = PlanningReplay(WORKLOADS[2], VARIANTS[name], SEED)
     replay.run()
-    assert 0 < replay.most_running <= PLACES
+    assert 0 < replay.most_running <= SLOTS_PER_ENGINE
 
 
-def test_a_replay_repeats_itself() -> None:
-    first, second = (Replay(PATTERNS[0], VARIANTS["by spare time"], SEED).run() for _ in range(2))
+def test_a_seed_determines_the_figures() -> None:
+    first, second = (
+        PlanningReplay(WORKLOADS[0], VARIANTS["by spare time"], SEED).run() for _ in range(2)
+    )
     assert first == second
 
 
-def test_lengths_are_those_of_the_pattern() -> None:
+def test_drawn_lengths_have_the_expected_mean_and_range() -> None:
     rng = random.Random(1)
     drawn = [draw_events(rng) for _ in range(20_000)]
     assert 19.0 < sum(drawn) / len(drawn) < 25.0
-    assert (min(drawn), max(drawn)) == (1, MOST_EVENTS)
+    assert (min(drawn), max(drawn)) == (1, MAX_EVENTS)
