--- a/samphirecleat/bench/_member_fleet.py
+++ b/samphirecleat/bench/_member_fleet.py
@@ -1,8 +1,7 @@
-"""Many real membership drivers in one process, with the rest of a node left out.
+"""Many nodes in one process that run only the membership and the target watch.
 
-Each node has its own blackboard, its own UDP socket on loopback, and the real
-target watch and host list news riding along. Only the questions to targets are
-answered here, by a stand-in for the target client without a socket.
+Each node has its own blackboard and UDP socket on loopback, and the target watch piggybacks its
+updates on heartbeats. Only the target client is replaced, by a stub without a socket.
 """
 
 import asyncio
@@ -20,12 +19,12 @@
 from ..settings import Timings
 
 SHARED_KEY = "bench-only-shared-key"
-REPORT_LAG_S = 0.2
-POLL_S = 0.02
+REPORT_AGE_S = 0.2
+POLL_INTERVAL_S = 0.02
 
 
-class CannedClient:
-    """Answers for targets whose load changes all the time."""
+class StubTargetClient:
+    """A stub target client; each report has a random load."""
 
     def __init__(self, rng: random.Random) -> None:
         """Draw loads from ``rng``."""
@@ -39,7 +38,7 @@
             running=self._rng.randrange(8),
             waiting=self._rng.randrange(4),
             slots=8,
-            reported_at_s=now_s - REPORT_LAG_S,
+            reported_at_s=now_s - REPORT_AGE_S,
             reachable=True,
         )
 
@@ -48,20 +47,20 @@
     """One node's membership and target watch."""
 
     def __init__(self, index: int, seeds: Sequence[str], targets: int, timings: Timings) -> None:
-        """Prepare node number ``index``."""
+        """Create node number ``index``; it joins through the peer addresses ``seeds``."""
         self._seeds = seeds
         self._timings = timings
         self._rng = random.Random(index)
         self.observer = Observer(f"node-{index}")
         self.board = Blackboard(Identity(f"node-{index}", f"{index:012x}", "zone-a", "", ""))
-        self.board.config = self.board.config._replace(revision=1, services=_services(targets))
+        self.board.config = self.board.config._replace(revision=1, services=_service_text(targets))
         self._started_at_ms = time.time_ns() // 1_000_000
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
         """Bind a socket, then start both controllers."""
         loop = asyncio.get_running_loop()
-        client = CannedClient(self._rng)
+        client = StubTargetClient(self._rng)
         self.watch = TargetWatch(
             self.board,
             client,  # type: ignore[arg-type]
@@ -72,7 +71,7 @@
             self.board,
             HeartbeatCodec(SHARED_KEY),
             self.observer,
-            self._own_row,
+            self.own_row,
             seeds=self._seeds,
             heartbeat_s=self._timings.heartbeat_s,
             suspect_after_s=self._timings.suspect_after_s,
@@ -91,18 +90,18 @@
             self._tasks.append(loop.create_task(drive()))
 
     async def stop(self) -> None:
-        """End without a word, as a killed process does."""
+        """Stop without an announcement, as a killed process does."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._udp.close()
 
     def leave(self) -> None:
-        """Begin to drain."""
+        """Announce that the node is leaving, as at the start of a drain."""
         self.board.leaving = True
         self.membership.announce()
 
-    def _own_row(self) -> Member:
+    def own_row(self) -> Member:
         identity = self.board.identity
         return Member(
             node_id=identity.node_id,
@@ -131,14 +130,14 @@
         *,
         first_index: int = 0,
         seeds: Sequence[str] = (),
-        apart_s: float = 0.0,
+        start_interval_s: float = 0.0,
     ) -> None:
-        """Prepare ``count`` nodes that share ``targets`` targets.
+        """Configure ``count`` nodes that share ``targets`` targets.
 
-        ``first_index`` and ``seeds`` let several processes form one fleet, whose
-        nodes start ``apart_s`` after each other.
+        ``first_index`` and ``seeds`` let several processes form one fleet. The nodes start
+        ``start_interval_s`` after each other.
         """
-        self._apart_s = apart_s
+        self._start_interval_s = start_interval_s
         self._first_index = first_index
         self._seeds = seeds
         self._count = count
@@ -147,30 +146,30 @@
         self.nodes: list[MemberNode] = []
 
     async def start(self) -> None:
-        """Start the nodes; each knows the first three."""
+        """Start the nodes one after another; each joins through ``seeds``."""
         for index in range(self._first_index, self._first_index + self._count):
             seeds = self._seeds or self.seeds
             node = MemberNode(index, seeds, self._targets, self._timings)
             await node.start()
             self.nodes.append(node)
-            await asyncio.sleep(self._apart_s)
+            await asyncio.sleep(self._start_interval_s)
 
     @property
     def seeds(self) -> Sequence[str]:
-        """The addresses through which others can join."""
+        """The peer addresses of the first three nodes, through which others can join."""
         return [node.board.identity.peer_address for node in self.nodes[:3]]
 
     async def stop(self) -> None:
-        """Stop the nodes that still run."""
+        """Stop the nodes that are still running."""
         for node in self.nodes:
             await node.stop()
 
-    def agrees(self) -> bool:
-        """Whether every node takes exactly the running nodes for alive."""
+    def has_converged(self) -> bool:
+        """Whether every node considers as many members alive as nodes are running."""
         return all(len(node.board.live_members()) == len(self.nodes) for node in self.nodes)
 
 
-def _services(targets: int) -> ServiceText:
+def _service_text(targets: int) -> ServiceText:
     addresses = [TargetAddress(f"10.0.{i // 250}.{i % 250}:8000", "zone-a") for i in range(targets)]
     service = Service(
         name="engine",
--- a/samphirecleat/bench/_overhead.py
+++ b/samphirecleat/bench/_overhead.py
@@ -1,7 +1,7 @@
-"""Bench of what a node adds to a request, against a bare forwarder and none at all.
+"""Bench of a node's overhead per request, compared with a bare forwarder and direct requests.
 
-Client, node and target share one process, so the processor time of a path is
-that of the whole process for its requests, less that of the direct path.
+Client, node and target run in one process. The CPU time that a path adds is that of the whole
+process for its requests, minus that of the direct path.
 """
 
 import asyncio
@@ -18,15 +18,15 @@
 from ._harness import BenchResult, BenchRow, average_runs
 
 DEFAULT_SEED: Final = 15
-CALLS: Final = 600
-AT_ONCE: Final = 4
-STREAMS: Final = 12
-STREAM_TOKENS: Final = 400
+CALL_COUNT: Final = 600
+CONCURRENCY: Final = 4
+STREAM_COUNT: Final = 12
+TOKENS_PER_STREAM: Final = 400
 WARM_UP_CALLS: Final = 50
 
 
 class _Path(NamedTuple):
-    """One way to the targets: where calls and streams are sent, and in which form."""
+    """A path to the targets: the URLs and JSON bodies of calls and streams."""
 
     name: str
     call_url: str
@@ -36,7 +36,7 @@
 
 
 class _Cost(NamedTuple):
-    """What the requests of one path took; durations in seconds."""
+    """Latencies and CPU times of the requests of one path, in seconds."""
 
     call_s: Sequence[float]
     cpu_s_per_call: float
@@ -44,7 +44,7 @@
 
 
 async def run(seed: int) -> BenchResult:
-    """Measure the three paths in turn."""
+    """Measure the three paths one after another."""
     shape = DEPLOYMENTS["los-aromos"]._replace(engine_count=1, plain_count=1)
     fleet = Fleet(shape, 1, seed)
     await fleet.start()
@@ -59,7 +59,10 @@
         await fleet.stop()
     direct = costs["direct"]
     rows = [_row(name, cost, direct) for name, cost in costs.items()]
-    note = f"{CALLS} calls, {AT_ONCE} at once; {STREAMS} streams of {STREAM_TOKENS} tokens"
+    note = (
+        f"{CALL_COUNT} calls, {CONCURRENCY} at once; "
+        f"{STREAM_COUNT} streams of {TOKENS_PER_STREAM} tokens"
+    )
     return BenchResult("overhead", seed, rows, note)
 
 
@@ -71,7 +74,7 @@
         f"{node}/{shape.plain_service}/{shape.plain_idempotent}",
         {"prompt": "card"},
         f"{node}/{shape.engine_service}/generate",
-        {"prompt": "quote", "max_tokens": STREAM_TOKENS, "stream": True},
+        {"prompt": "quote", "max_tokens": TOKENS_PER_STREAM, "stream": True},
     )
 
 
@@ -81,7 +84,7 @@
         f"{fleet.plain[0].url}/v1/call/{fleet.shape.plain_idempotent}",
         {"prompt": "card"},
         f"{fleet.engines[0].url}/v1/generate",
-        {"prompt": "quote", "max_tokens": STREAM_TOKENS, "request_id": "direct"},
+        {"prompt": "quote", "max_tokens": TOKENS_PER_STREAM, "request_id": "direct"},
     )
 
 
@@ -96,7 +99,7 @@
 
 @asynccontextmanager
 async def _forwarder(plain: StandInPlainService, engine: StandInEngine) -> AsyncIterator[str]:
-    """Run the least that can stand between: it copies bytes and decides nothing."""
+    """Run a minimal proxy that copies bytes; yield its URL."""
     async with aiohttp.ClientSession() as session:
 
         async def forward(request: web.Request) -> web.StreamResponse:
@@ -124,31 +127,31 @@
     async with aiohttp.ClientSession() as session:
         await _call_many(session, path, WARM_UP_CALLS)
         before_s = time.process_time()
-        call_s = await _call_many(session, path, CALLS)
-        cpu_s_per_call = (time.process_time() - before_s) / CALLS
+        call_s = await _call_many(session, path, CALL_COUNT)
+        cpu_s_per_call = (time.process_time() - before_s) / CALL_COUNT
         before_s = time.process_time()
         tokens = 0
-        for _number in range(STREAMS):
+        for _number in range(STREAM_COUNT):
             tokens += await _stream(session, path)
         cpu_s_per_token = (time.process_time() - before_s) / tokens
     return _Cost(call_s, cpu_s_per_call, cpu_s_per_token)
 
 
 async def _call_many(session: aiohttp.ClientSession, path: _Path, count: int) -> Sequence[float]:
-    took_s: list[float] = []
+    latencies_s: list[float] = []
 
     async def worker() -> None:
-        for _number in range(count // AT_ONCE):
+        for _number in range(count // CONCURRENCY):
             started_at_s = time.perf_counter()
             async with session.post(
                 path.call_url, json=path.call_body, headers={"x-request-id": "bench"}
             ) as response:
                 await response.read()
                 response.raise_for_status()
-            took_s.append(time.perf_counter() - started_at_s)
+            latencies_s.append(time.perf_counter() - started_at_s)
 
-    await asyncio.gather(*(worker() for _number in range(AT_ONCE)))
-    return took_s
+    await asyncio.gather(*(worker() for _number in range(CONCURRENCY)))
+    return latencies_s
 
 
 async def _stream(session: aiohttp.ClientSession, path: _Path) -> int:
--- a/samphirecleat/bench/_state_sizes.py
+++ b/samphirecleat/bench/_state_sizes.py
@@ -1,4 +1,4 @@
-"""What one member, target, span and datagram row take, and what a change of members costs.
+"""Sizes of members, targets and spans in memory and in datagrams; time of membership changes.
 
 Run it as ``python -m samphirecleat.bench._state_sizes``.
 """
@@ -17,10 +17,10 @@
 from ..observe import Observer
 from ..peers import MemberRow, RendezvousOwners, TargetLoad, TargetRow
 
-NODES: Final = 390
-TARGETS: Final = 600
-LOST_WITH_A_ZONE: Final = 78
-SPANS: Final = 1000
+NODE_COUNT: Final = 390
+TARGET_COUNT: Final = 600
+NODES_PER_ZONE: Final = 78
+SPAN_COUNT: Final = 1000
 MEMBER: Final = Member(
     node_id="node-123",
     incarnation="0123456789ab",
@@ -38,7 +38,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Measure and print the table."""
     rows = [*_wire_rows(), *_memory_rows(), *_time_rows()]
     print(tabulate(rows, headers=["", "value", "unit"], floatfmt=".3g"))
 
@@ -58,31 +58,31 @@
 def _memory_rows() -> list[tuple[str, float, str]]:
     tracemalloc.start()
     rows = [
-        ("member in memory", _traced(_fill_members) / NODES, "bytes"),
-        ("target in memory", _traced(_fill_targets) / TARGETS, "bytes"),
-        ("span in memory", _traced(_fill_spans) / SPANS, "bytes"),
+        ("member in memory", _traced_bytes(_fill_members) / NODE_COUNT, "bytes"),
+        ("target in memory", _traced_bytes(_fill_targets) / TARGET_COUNT, "bytes"),
+        ("span in memory", _traced_bytes(_fill_spans) / SPAN_COUNT, "bytes"),
     ]
     tracemalloc.stop()
     return rows
 
 
 def _time_rows() -> list[tuple[str, float, str]]:
-    node_ids = [f"node-{index}" for index in range(NODES)]
-    targets = [f"target-{index}" for index in range(TARGETS)]
+    node_ids = [f"node-{index}" for index in range(NODE_COUNT)]
+    targets = [f"target-{index}" for index in range(TARGET_COUNT)]
     owners = RendezvousOwners()
     rows = []
     for name, present in (
         ("watchers found anew", node_ids),
         ("watchers after one node left", node_ids[:-1]),
         ("watchers after one node joined", node_ids),
-        ("watchers after a zone was lost", node_ids[:-LOST_WITH_A_ZONE]),
+        ("watchers after a zone was lost", node_ids[:-NODES_PER_ZONE]),
     ):
-        began_s = time.perf_counter()
+        started_at_s = time.perf_counter()
         owners.update(present, targets)
-        rows.append((name, (time.perf_counter() - began_s) * 1000.0, "ms"))
-    began_s = time.perf_counter()
+        rows.append((name, (time.perf_counter() - started_at_s) * 1000.0, "ms"))
+    started_at_s = time.perf_counter()
     _fill_spans()
-    rows.append(("span", (time.perf_counter() - began_s) / SPANS * 1000.0, "ms"))
+    rows.append(("span", (time.perf_counter() - started_at_s) / SPAN_COUNT * 1000.0, "ms"))
     return rows
 
 
@@ -90,36 +90,36 @@
     return float(len(msgspec.msgpack.encode(row)))
 
 
-def _traced(fill: Callable[[], object]) -> float:
+def _traced_bytes(fill: Callable[[], object]) -> float:
     before = tracemalloc.get_traced_memory()[0]
-    kept = fill()
+    filled = fill()
     after = tracemalloc.get_traced_memory()[0]
-    del kept
+    del filled
     return float(after - before)
 
 
 def _fill_members() -> object:
     table = MemberTable()
-    for index in range(NODES):
+    for index in range(NODE_COUNT):
         row = MEMBER._replace(node_id=f"node-{index}", incarnation=f"{index:012x}")
         table.merge(msgspec.msgpack.decode(msgspec.msgpack.encode(row), type=Member), 0.0, 10.0)
     return table
 
 
 def _fill_targets() -> object:
-    news = TargetGossip()
-    written = {}
-    for index in range(TARGETS):
+    gossip = TargetGossip()
+    views = {}
+    for index in range(TARGET_COUNT):
         address = f"10.0.{index // 250}.{index % 250}:8000"
         view = TargetView(address, "engine", "zone-a", f"boot-{index}", 7, reported_at_s=index)
-        news.note(view, 10.0, 10.0)
-        written[address] = view._replace(running=1)
-    return news, written
+        gossip.note(view, 10.0, 10.0)
+        views[address] = view._replace(running=1)
+    return gossip, views
 
 
 def _fill_spans() -> object:
     observer = Observer("sizes")
-    for _number in range(SPANS):
+    for _number in range(SPAN_COUNT):
         with observer.span("entry", ""):
             pass
     return observer
--- a/samphirecleat/bench/_weights.py
+++ b/samphirecleat/bench/_weights.py
@@ -1,7 +1,7 @@
-"""Weights: a trainer's versions to all engines under the store's limit, one swap failing.
+"""Bench of weight rollout: each version reaches all engines under the load limit of the store.
 
-Minutes are scaled down to seconds. Measured over real nodes and stand-in engines
-on loopback; a trainer publishes a version after each of its steps.
+A trainer publishes a version after each of its steps, and one load fails. Minutes are scaled down
+to seconds. Measured with real nodes and stand-in engines on loopback.
 """
 
 import asyncio
@@ -23,24 +23,24 @@
 
 DEFAULT_SEED: Final = 21
 REPEATS: Final = 1
-NODES: Final = 3
-STEPS: Final = 4
-GROUPS: Final = 24
+NODE_COUNT: Final = 3
+STEP_COUNT: Final = 4
+GROUPS_PER_STEP: Final = 24
 SAMPLES_PER_GROUP: Final = 4
-TOKENS: Final = 40
-TOKEN_S: Final = 0.005
+MAX_TOKENS: Final = 40
+SECONDS_PER_TOKEN: Final = 0.005
 STALENESS_BOUND: Final = 1
-TRAIN_S: Final = 0.4
+TRAINING_S: Final = 0.4
 LOAD_S: Final = 0.25
 PARALLEL_LOADS: Final = 3
 MAX_SWAPPING_SHARE: Final = 0.5
-FAILS_AT_STEP: Final = 2
-SAMPLING_S: Final = 0.02
-LAST_VERSION_WAIT_S: Final = 6.0
+FAILING_LOAD_STEP: Final = 2
+SAMPLING_INTERVAL_S: Final = 0.02
+LAST_VERSION_TIMEOUT_S: Final = 6.0
 
 
 class Variant(NamedTuple):
-    """One way to bring weights to engines."""
+    """A policy that decides when engines swap weights, and its name in the results."""
 
     name: str
     policy: SwapPolicy
@@ -57,89 +57,89 @@
 
 
 @dataclass
-class _Seen:
-    """What is observed of the engines and of the trainer."""
+class _Measurements:
+    """Measurements of the engines and of the trainer."""
 
     published_at_s: dict[int, float] = field(default_factory=dict)
     everywhere_s: dict[int, float] = field(default_factory=dict)
-    lost: list[float] = field(default_factory=list)
+    capacity_lost: list[float] = field(default_factory=list)
     staleness: list[int] = field(default_factory=list)
     waited_s: float = 0.0
     trained_s: float = 0.0
 
 
 async def run(seed: int) -> BenchResult:
-    """Run every variant over the same steps."""
+    """Run every variant with the same steps."""
     rows = [
         await run_repeats(variant.name, partial(_run_once, variant), seed, REPEATS)
         for variant in VARIANTS
     ]
     note = (
-        f"{STEPS} versions, 6 engines, {LOAD_S} s a load, {PARALLEL_LOADS} loads at once at the"
-        f" store, at most {MAX_SWAPPING_SHARE:.0%} of the engines; one load of version"
-        f" {FAILS_AT_STEP} fails partway. Staleness bound {STALENESS_BOUND}."
+        f"{STEP_COUNT} versions, 6 engines, {LOAD_S} s per load, {PARALLEL_LOADS} parallel loads at"
+        f" the store, at most {MAX_SWAPPING_SHARE:.0%} of the engines; one load of version"
+        f" {FAILING_LOAD_STEP} fails partway. Staleness bound {STALENESS_BOUND}."
     )
     return BenchResult("weights", seed, rows, note)
 
 
 async def _run_once(variant: Variant, seed: int) -> Mapping[str, float]:
     shape = DEPLOYMENTS["lavadero-norte"]._replace(staleness_weight=variant.staleness_weight)
-    fleet = Fleet(shape, NODES, seed, Policies(swaps=variant.policy))
+    fleet = Fleet(shape, NODE_COUNT, seed, Policies(swaps=variant.policy))
     fleet.first_text = service_text(shape, max_swapping_share=MAX_SWAPPING_SHARE)
     fleet.store.load_s = LOAD_S
     fleet.store.parallel_loads = PARALLEL_LOADS
     await fleet.start()
-    seen = _Seen()
+    measured = _Measurements()
     try:
         await until_ready(fleet)
         for engine in fleet.engines:
-            engine.token_s = TOKEN_S
-        sampler = asyncio.create_task(_sample(fleet, seen))
+            engine.token_s = SECONDS_PER_TOKEN
+        sampler = asyncio.create_task(_sample_engines(fleet, measured))
         try:
-            await _train(fleet, seen, seed)
+            await _train(fleet, measured, seed)
             refused = fleet.store.refused_loads
         finally:
             sampler.cancel()
     finally:
         await fleet.stop()
     return {
-        "everywhere_s": fmean(seen.everywhere_s.values()) if seen.everywhere_s else 0.0,
-        "everywhere": float(len(seen.everywhere_s)),
-        "trainer_idle_ratio": seen.waited_s / (seen.waited_s + seen.trained_s),
-        "staleness_versions": fmean(seen.staleness),
-        "capacity_lost": fmean(seen.lost),
+        "everywhere_s": fmean(measured.everywhere_s.values()) if measured.everywhere_s else 0.0,
+        "everywhere": float(len(measured.everywhere_s)),
+        "trainer_idle_ratio": measured.waited_s / (measured.waited_s + measured.trained_s),
+        "staleness_versions": fmean(measured.staleness),
+        "capacity_lost": fmean(measured.capacity_lost),
         "refused_loads": float(refused),
     }
 
 
-async def _train(fleet: Fleet, seen: _Seen, seed: int) -> None:
+async def _train(fleet: Fleet, measured: _Measurements, seed: int) -> None:
     version = 0
     async with aiohttp.ClientSession() as session:
         client = TrainerClient(session, "trainer-1", fleet.bootstrap, lambda: version, seed=seed)
-        for number in range(1, STEPS + 1):
-            if number == FAILS_AT_STEP:
+        for number in range(1, STEP_COUNT + 1):
+            if number == FAILING_LOAD_STEP:
                 random.Random(seed).choice(fleet.engines).fail_next_loads = 1
             started_at_s = time.monotonic()
-            async for sample in client.run_step(_step(fleet, number)):
-                seen.staleness.append(version - sample.oldest_version)
-            seen.waited_s += time.monotonic() - started_at_s
-            await asyncio.sleep(TRAIN_S)
-            seen.trained_s += TRAIN_S
+            async for sample in client.run_step(_step_request(fleet, number)):
+                measured.staleness.append(version - sample.oldest_version)
+            measured.waited_s += time.monotonic() - started_at_s
+            await asyncio.sleep(TRAINING_S)
+            measured.trained_s += TRAINING_S
             version = number
             await _publish(fleet, session, version)
-            seen.published_at_s[version] = time.monotonic()
-        give_up_at_s = time.monotonic() + LAST_VERSION_WAIT_S
-        while version not in seen.everywhere_s and time.monotonic() < give_up_at_s:
-            await asyncio.sleep(SAMPLING_S)
+            measured.published_at_s[version] = time.monotonic()
+        deadline_s = time.monotonic() + LAST_VERSION_TIMEOUT_S
+        while version not in measured.everywhere_s and time.monotonic() < deadline_s:
+            await asyncio.sleep(SAMPLING_INTERVAL_S)
 
 
-def _step(fleet: Fleet, number: int) -> StepRequest:
+def _step_request(fleet: Fleet, number: int) -> StepRequest:
     return StepRequest(
         step_id=f"step-{number}",
         service=fleet.shape.engine_service,
-        prompts=[f"lesson {number}, group {group}" for group in range(GROUPS)],
+        prompts=[f"lesson {number}, group {group}" for group in range(GROUPS_PER_STEP)],
         samples_per_group=SAMPLES_PER_GROUP,
-        max_tokens=TOKENS,
+        max_tokens=MAX_TOKENS,
         staleness_bound=STALENESS_BOUND,
     )
 
@@ -151,15 +151,15 @@
         response.raise_for_status()
 
 
-async def _sample(fleet: Fleet, seen: _Seen) -> None:
-    """Watch the engines themselves, not what the nodes believe of them."""
+async def _sample_engines(fleet: Fleet, measured: _Measurements) -> None:
+    """Sample the state of the engines directly, rather than the view that nodes have of it."""
     while True:
-        await asyncio.sleep(SAMPLING_S)
+        await asyncio.sleep(SAMPLING_INTERVAL_S)
         now_s = time.monotonic()
         loading = sum(1 for engine in fleet.engines if engine.loading)
-        if seen.published_at_s:
-            seen.lost.append(loading / len(fleet.engines))
-        for version, published_at_s in seen.published_at_s.items():
+        if measured.published_at_s:
+            measured.capacity_lost.append(loading / len(fleet.engines))
+        for version, published_at_s in measured.published_at_s.items():
             everywhere = all(engine.version >= version for engine in fleet.engines)
-            if everywhere and version not in seen.everywhere_s:
-                seen.everywhere_s[version] = now_s - published_at_s
+            if everywhere and version not in measured.everywhere_s:
+                measured.everywhere_s[version] = now_s - published_at_s
