--- a/samphirecleat/bench/_loads.py
+++ b/samphirecleat/bench/_loads.py
@@ -108,18 +108,21 @@
 def decide_per_model(
     engines: Sequence[OrderableEngine], demands: Sequence[ModelDemand]
 ) -> Sequence[Load]:
-    """Load each model's version on every engine without a run of it, one model after another."""
-    free = max(1, round(len(engines) * BASELINE_LOADING_SHARE))
-    free -= sum(bool(engine.loading) for engine in engines)
+    """Load each model's version, one model after another, on engines without a run of that model.
+
+    At most ``BASELINE_LOADING_SHARE`` of the engines, or one, load at the same time.
+    """
+    max_loads = max(1, round(len(engines) * BASELINE_LOADING_SHARE))
+    max_loads -= sum(bool(engine.loading) for engine in engines)
     loads: list[Load] = []
-    taken = {engine.instance for engine in engines if engine.loading}
+    busy_engines = {engine.instance for engine in engines if engine.loading}
     for demand in demands:
         for engine in engines:
             behind = engine.versions[demand.model] < demand.named_version
             idle = not engine.runs.get(demand.model)
-            if len(loads) < free and behind and idle and engine.instance not in taken:
+            if len(loads) < max_loads and behind and idle and engine.instance not in busy_engines:
                 loads.append(Load(engine.instance, demand.model))
-                taken.add(engine.instance)
+                busy_engines.add(engine.instance)
     return loads
 
 
@@ -168,7 +171,7 @@
 
 
 class LoadsReplay:
-    """Simulates one workload with one way to decide the loads."""
+    """Simulates one workload with one function that decides the loads."""
 
     def __init__(self, workload: LoadsWorkload, decide: DecideLoads, seed: int) -> None:
         """Draw the same lengths and hints from ``seed`` for every variant."""
--- a/samphirecleat/bench/_membership.py
+++ b/samphirecleat/bench/_membership.py
@@ -192,7 +192,9 @@
 def _load_ages(nodes: Sequence[MemberNode]) -> Sequence[float]:
     now_s = asyncio.get_running_loop().time()
     ages = [
-        now_s - heard.polled_at_s for n in nodes for heard in n.watch.gossip.polled_targets.values()
+        now_s - polled.polled_at_s
+        for n in nodes
+        for polled in n.watch.gossip.polled_targets.values()
     ]
     return quantiles(ages, n=100)
 
--- a/samphirecleat/bench/_retries.py
+++ b/samphirecleat/bench/_retries.py
@@ -19,10 +19,10 @@
 NODE_COUNT: Final = 9
 RATE_PER_S: Final = 80.0
 LOAD_DURATION_S: Final = 3.5
-FAULT_FROM_S: Final = 1.0
-FAULT_TO_S: Final = 2.5
+FAULT_START_S: Final = 1.0
+FAULT_END_S: Final = 2.5
 DEADLINE_S: Final = 2.0
-FAILING_SHARES: Final = (0.05, 0.3, 1.0)
+REFUSED_CALL_SHARES: Final = (0.05, 0.3, 1.0)
 BUDGETS: Final[Mapping[str, RetryLimit]] = {
     "budget": RetryLimit(),
     "no retries": RetryLimit(0.0, 0.0),
@@ -30,7 +30,7 @@
 }
 
 
-class _FailingShare:
+class _RefusalFault:
     """Makes targets refuse a share of their calls during the fault."""
 
     def __init__(self, targets: Sequence[StandInPlainService], share: float, seed: int) -> None:
@@ -40,7 +40,7 @@
 
     def on_time(self, at_s: float) -> None:
         """Draw again, before each call, which targets refuse their next call."""
-        failing = FAULT_FROM_S <= at_s < FAULT_TO_S
+        failing = FAULT_START_S <= at_s < FAULT_END_S
         for target in self._targets:
             refuses = failing and self._rng.random() < self._share
             target.refuse_next = 1_000_000 if refuses else 0
@@ -51,7 +51,7 @@
     rows = [await _run_variant(name, limit, seed) for name, limit in BUDGETS.items()]
     note = (
         f"{NODE_COUNT} nodes, {RATE_PER_S:g} calls/s; targets refuse 5%, 30%, 100% of calls from "
-        f"{FAULT_FROM_S:g} s to {FAULT_TO_S:g} s; load: calls at targets per call during the "
+        f"{FAULT_START_S:g} s to {FAULT_END_S:g} s; load: calls at targets per call during the "
         "fault; back_s: time from the end of the fault until every call is answered"
     )
     return BenchResult("retries", seed, rows, note)
@@ -59,7 +59,7 @@
 
 async def _run_variant(name: str, limit: RetryLimit, seed: int) -> BenchRow:
     figures: dict[str, float] = {}
-    for share in FAILING_SHARES:
+    for share in REFUSED_CALL_SHARES:
         outcome = await _run_once(limit, share, seed)
         figures.update({f"{key}_{share:.0%}": value for key, value in outcome.items()})
     return average_runs(name, [figures])
@@ -71,7 +71,7 @@
     await fleet.start()
     try:
         await until_ready(fleet)
-        fault = _FailingShare(fleet.plain, share, seed)
+        fault = _RefusalFault(fleet.plain, share, seed)
         calls = _draw_calls(shape.plain_service, shape.plain_idempotent, seed)
         outcomes = await send_load(fleet.bootstrap, calls, random.Random(seed), fault.on_time)
         reached = sum(len(target.arrivals) for target in fleet.plain)
@@ -89,11 +89,11 @@
 
 
 def _figures(outcomes: Sequence[LoadOutcome], reached: int) -> Mapping[str, float]:
-    during = [o for o in outcomes if FAULT_FROM_S <= o.call.at_s < FAULT_TO_S]
+    during = [o for o in outcomes if FAULT_START_S <= o.call.at_s < FAULT_END_S]
     outside = len(outcomes) - len(during)
-    failed_after = [o.call.at_s for o in outcomes if o.call.at_s >= FAULT_TO_S and not o.completed]
+    failed_after = [o.call.at_s for o in outcomes if o.call.at_s >= FAULT_END_S and not o.completed]
     return {
         "load": (reached - outside) / max(1, len(during)),
         "ok": sum(o.completed for o in during) / max(1, len(during)),
-        "back_s": max(failed_after, default=FAULT_TO_S) - FAULT_TO_S,
+        "back_s": max(failed_after, default=FAULT_END_S) - FAULT_END_S,
     }
--- a/samphirecleat/bench/_routing.py
+++ b/samphirecleat/bench/_routing.py
@@ -59,7 +59,7 @@
     fleet = Fleet(DEPLOYMENTS["los-aromos"], NODE_COUNT, seed, Policies(routing=policy))
     await fleet.start()
     try:
-        _make_unequal(fleet.engines)
+        _configure_unequal_engines(fleet.engines)
         await until_ready(fleet)
         calls = _draw_calls(fleet.shape.engine_service, seed)
         outcomes = await send_load(fleet.bootstrap, calls, random.Random(seed))
@@ -68,7 +68,7 @@
         await fleet.stop()
 
 
-def _make_unequal(engines: Sequence[StandInEngine]) -> None:
+def _configure_unequal_engines(engines: Sequence[StandInEngine]) -> None:
     for engine in engines:
         engine.cache_size = CACHE_SIZE
         engine.prefill_s = PREFILL_S
--- a/tests/bench/test_crashes.py
+++ b/tests/bench/test_crashes.py
@@ -36,7 +36,7 @@
 def test_no_call_is_refused_when_crashes_have_other_causes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against refusals of innocent requests when zones or whole services are lost.
+    """Guards against false refusals when zones or all targets of a service are lost.
 
     A rule that only counts ends refused the most popular requests from then on.
     """
