--- a/samphirecleat/controllers/membership/_drain.py
+++ b/samphirecleat/controllers/membership/_drain.py
@@ -110,11 +110,11 @@
     async def run(self) -> None:
         """Leave the entry list, finish accepted requests, and return."""
         loop = asyncio.get_running_loop()
-        log = self._observer.log("drain")
+        logger = self._observer.log("drain")
         started_at_s = last_busy_at_s = loop.time()
         self._board.leaving = True
         self._announce()
-        log.info("Draining; requests in flight: %d.", self._in_flight())
+        logger.info("Draining; requests in flight: %d.", self._in_flight())
         while True:
             now_s = loop.time()
             view = self._view(started_at_s, last_busy_at_s)
@@ -127,7 +127,7 @@
                     self._board.accepting = False
                 case Stop(cut=cut):
                     self._board.accepting = False
-                    log.info("Drained; requests cut off: %d.", cut)
+                    logger.info("Drained; requests cut off: %d.", cut)
                     return
             await asyncio.sleep(POLL_S)
 
--- a/samphirecleat/crashes/_guard.py
+++ b/samphirecleat/crashes/_guard.py
@@ -95,7 +95,7 @@
         self._registered = registered
         self._others = others
         self._observer = observer
-        self._log = observer.log("crashes")
+        self._logger = observer.log("crashes")
         self._unconfirmed_cuts: list[_Cut] = []
         self._known_nodes: frozenset[str] = frozenset()
         self._probes: dict[TargetStart, tuple[float, asyncio.Task[bool]]] = {}
@@ -112,7 +112,7 @@
         verdict = self._ledger.verdict(digest, now_s)
         if is_barred(verdict):
             self._observer.counters[f"crash_calls_{verdict.value}"] += 1
-            self._log.warning(
+            self._logger.warning(
                 "request=%s call=%s %s evidence=%s",
                 request_id,
                 digest.hex(),
@@ -137,7 +137,7 @@
             return
         ends = len(suspect.ends)
         if self._ledger.note_answer(digest, now_s):
-            self._log.info(
+            self._logger.info(
                 "request=%s call=%s answered cleared_ends=%d", request_id, digest.hex(), ends
             )
             self._gossip.announce(digest)
@@ -154,7 +154,7 @@
         registered = self._registered(start)
         listens = registered is RegistrationState.READY and await self._probe(start, cut_s)
         counts = registered is RegistrationState.READY and not listens
-        self._log.warning(
+        self._logger.warning(
             "request=%s call=%s target=%s cut after=%.3f s registered=%s listens=%s counts=%s "
             "detail=%s",
             request_id,
@@ -189,7 +189,7 @@
         for cut in unconfirmed_cuts:
             match self._registered(cut.start):
                 case RegistrationState.GONE:
-                    self._log.info(
+                    self._logger.info(
                         "call=%s target=%s ended: registration removed after=%.3f s",
                         cut.digest.hex(),
                         cut.start.name,
@@ -205,7 +205,7 @@
         }
         for digest in self._ledger.decide(now_s):
             self._observer.counters["crash_calls_barred"] += 1
-            self._log.error(
+            self._logger.error(
                 "call=%s barred evidence=%s", digest.hex(), self.evidence(digest, now_s)
             )
             ends = self._ledger.suspects[digest].ends.values()
@@ -248,7 +248,7 @@
         for name in gone:
             if self._ledger.note_ended_target(name, now_s, now_s):
                 self._gossip.announce(NO_CALL, name)
-        self._log.info(
+        self._logger.info(
             "call=%s probed other targets looked_at=%d ended=%s",
             digest.hex(),
             len(sample),
--- a/samphirecleat/platform/_duty_api.py
+++ b/samphirecleat/platform/_duty_api.py
@@ -40,7 +40,7 @@
         observer: Observer,
     ) -> None:
         """Send calls to ``address``, at most ``calls_per_s`` per second."""
-        self._log = observer.log("api")
+        self._logger = observer.log("api")
         self._session = session
         self._address = address
         self._interval_s = 1.0 / calls_per_s
@@ -90,10 +90,10 @@
                 ) as response:
                     content = await response.read()
             except RESPONSE_ERRORS as error:
-                self._log.warning("%s got no response: %r", path, error)
+                self._logger.warning("%s got no response: %r", path, error)
                 return 0
             if response.status != 200:
-                self._log.warning(
+                self._logger.warning(
                     "%s status=%d %s", path, response.status, content[:LOGGED_BODY_BYTES]
                 )
             return response.status
--- a/samphirecleat/platform/_front.py
+++ b/samphirecleat/platform/_front.py
@@ -67,7 +67,7 @@
         self._steps = steps
         self._authenticator = authenticator
         self._observer = observer
-        self._log = observer.log("front")
+        self._logger = observer.log("front")
         self.draining = False
         self.in_flight = 0
 
@@ -80,7 +80,7 @@
         except RequestError as error:
             response = self._error_response(request, error, started_at_s)
         except asyncio.CancelledError:
-            self._log.info(
+            self._logger.info(
                 "request=%s caller disconnected after %.3f s",
                 request.headers.get(REQUEST_ID, ""),
                 asyncio.get_running_loop().time() - started_at_s,
@@ -145,7 +145,7 @@
             await response.write_eof()
         except StreamBrokenError as error:
             self._observer.counters["streams_cut"] += 1
-            self._log.warning("request=%s stream cut: %s", call.request_id, error)
+            self._logger.warning("request=%s stream cut: %s", call.request_id, error)
             if request.transport is not None:
                 request.transport.abort()
         finally:
@@ -212,7 +212,7 @@
         await self._steps.submit(step)
         elapsed_s = asyncio.get_running_loop().time() - started_at_s
         self._observer.record_s("step_accept", elapsed_s)
-        self._log.info("step=%s kept after %.3f s", step.step_id, elapsed_s)
+        self._logger.info("step=%s kept after %.3f s", step.step_id, elapsed_s)
         return web.Response(status=202, headers={REQUEST_ID: step.step_id})
 
     async def _handle_step(self, request: web.BaseRequest, raw_path: str) -> web.StreamResponse:
@@ -243,7 +243,7 @@
     ) -> web.StreamResponse:
         status = status_of(error)
         self._observer.counters[f"refused_{error.kind.value}"] += 1
-        self._log.warning(
+        self._logger.warning(
             "request=%s %s %s status=%d kind=%s ran=%s after=%.3f s detail=%s",
             request.headers.get(REQUEST_ID, ""),
             request.method,
--- a/samphirecleat/platform/_listeners.py
+++ b/samphirecleat/platform/_listeners.py
@@ -15,7 +15,7 @@
 
     def __init__(self, observer: Observer) -> None:
         """Start without a listener."""
-        self._log = observer.log("node")
+        self._logger = observer.log("node")
         self._runners: list[web.ServerRunner] = []
 
     async def open(self, address: str, server: web.Server) -> None:
@@ -34,7 +34,7 @@
         try:
             await self.open(address, server)
         except OSError as error:
-            self._log.warning("failed to listen for metrics at %s: %s", address, error)
+            self._logger.warning("failed to listen for metrics at %s: %s", address, error)
 
     async def close(self) -> None:
         """Close all servers and their connections."""
--- a/samphirecleat/platform/_metadata_store.py
+++ b/samphirecleat/platform/_metadata_store.py
@@ -81,7 +81,7 @@
         self._ways = StoreWays(address, peers, rng)
         self._probing: asyncio.Task[None] | None = None
         self._observer = observer
-        self._words = observer.log("store")
+        self._logger = observer.log("store")
         self._patience_s = SHORTEST_PATIENCE_S
 
     async def newest(self, topic: str, prefix: str = "") -> LogSlice:
@@ -141,7 +141,7 @@
         try:
             await self._call(self._ways.direct, "POST", PATH_TRIM, body, 0.0)
         except _Unanswered as error:
-            self._words.info("topic=%s not trimmed: %s", topic, error)
+            self._logger.info("topic=%s not trimmed: %s", topic, error)
 
     async def read_plain(self, topic: str) -> Sequence[bytes]:
         """Return all records that are kept; see :class:`PlainLog`."""
@@ -294,7 +294,7 @@
 
     def _note(self, way: Way, *, works: bool, detail: str) -> None:
         if way.is_direct and works != self._ways.direct_works:
-            self._words.warning("direct=%s detail=%s", "regained" if works else "lost", detail)
+            self._logger.warning("direct=%s detail=%s", "regained" if works else "lost", detail)
         self._ways.note(way, asyncio.get_running_loop().time(), works=works)
         if not self._ways.direct_works and (self._probing is None or self._probing.done()):
             self._probing = asyncio.ensure_future(self._probe())
--- a/samphirecleat/platform/_platform_node.py
+++ b/samphirecleat/platform/_platform_node.py
@@ -103,7 +103,7 @@
         )
         self.board = Blackboard(identity)
         self.observer = Observer(settings.node_id)
-        self._log = self.observer.log("node")
+        self._logger = self.observer.log("node")
         self.routes = RouteTable()
         self.targets = TargetTable(settings.zone, settings.node_id)
         self._listeners = Listeners(self.observer)
@@ -157,7 +157,7 @@
             task = asyncio.ensure_future(coroutine)
             task.add_done_callback(self._log_task_failure)
             self._tasks.append(task)
-        self._log.info(
+        self._logger.info(
             "started node=%s incarnation=%s zone=%s front=%s",
             settings.node_id,
             self.board.identity.incarnation,
@@ -172,7 +172,7 @@
             for name, old, new in zip(settings._fields, self.settings, settings, strict=True)
             if old != new
         ]
-        self._log.info("settings read again changed=%s", ",".join(changed))
+        self._logger.info("settings read again changed=%s", ",".join(changed))
         self.settings = settings._replace(
             front_address=self.settings.front_address,
             ready_address=self.settings.ready_address,
@@ -195,7 +195,7 @@
         """
         started_at_s = asyncio.get_running_loop().time()
         duties = self._duties.held_duties()
-        self._log.info("draining in_flight=%d duties=%s", self.front.in_flight, duties)
+        self._logger.info("draining in_flight=%d duties=%s", self.front.in_flight, duties)
         self.board.leaving = True
         self.front.draining = True
         self._membership.announce()
@@ -218,7 +218,7 @@
         self._store.close()
         await self._sessions.close()
         await self._session.close()
-        self._log.info("stopped")
+        self._logger.info("stopped")
 
     def _has_pending_work(self) -> bool:
         unwritten = self.step_log.unlisted + self._counter.unwritten
@@ -346,7 +346,7 @@
         ]
         correction_s = self._clock.agree(samples)
         if abs(correction_s) > LOGGED_CLOCK_CORRECTION_S:
-            self._log.warning("clock corrected by=%.3f s hosts=%d", correction_s, len(samples))
+            self._logger.warning("clock corrected by=%.3f s hosts=%d", correction_s, len(samples))
 
     def _registrations_are_current(self) -> bool:
         """Whether the registrations are recent and complete enough to order targets by."""
@@ -399,4 +399,4 @@
 
     def _log_task_failure(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
-            self._log.error("a background task of the node failed", exc_info=task.exception())
+            self._logger.error("a background task of the node failed", exc_info=task.exception())
--- a/samphirecleat/platform/_watches.py
+++ b/samphirecleat/platform/_watches.py
@@ -20,7 +20,7 @@
     def __init__(self, routes: RouteTable, observer: Observer) -> None:
         """Put configurations into ``routes``."""
         self._routes = routes
-        self._words = observer.log("config")
+        self._logger = observer.log("config")
         self._named: dict[str, int] = {}
 
     def take(self, entries: Sequence[LogEntry], newest: bool) -> None:
@@ -35,7 +35,7 @@
                 elif entry.key.startswith(VERSION_KEY_PREFIX):
                     self._take_version(entry)
             except DocumentFormatError as error:
-                self._words.error("offset=%d not understood: %s", entry.offset, error)
+                self._logger.error("offset=%d not understood: %s", entry.offset, error)
 
     def named(self, model: str) -> int:
         """Return the newest version of a model that was named, 1 before any."""
@@ -44,7 +44,7 @@
     def _take_config(self, entry: LogEntry) -> None:
         config = decode_config(entry.value)
         if self._routes.put(config):
-            self._words.info(
+            self._logger.info(
                 "revision=%d in force routes=%d workspaces=%d keys=%d offset=%d",
                 config.revision,
                 len(config.routes),
@@ -53,7 +53,7 @@
                 entry.offset,
             )
             for conflict in self._routes.keys.conflicts:
-                self._words.error(
+                self._logger.error(
                     "revision=%d key mark=%s is held by workspaces %s: it names none of them",
                     config.revision,
                     conflict.fingerprint,
@@ -64,7 +64,7 @@
         model, version = decode_named_version(entry.value)
         if version > self._named.get(model, 1):
             self._named[model] = version
-            self._words.info("model=%s version=%d named", model, version)
+            self._logger.info("model=%s version=%d named", model, version)
 
 
 class TargetWatch:
@@ -79,7 +79,7 @@
         """Keep ``registry``, and ``table`` as it says."""
         self._registry = registry
         self._table = table
-        self._words = observer.log("targets")
+        self._logger = observer.log("targets")
 
     def take(self, entries: Sequence[LogEntry], newest: bool) -> None:
         """Take entries of the targets' topic."""
@@ -110,7 +110,7 @@
         try:
             return decode_target(entry.key, entry.value)
         except DocumentFormatError as error:
-            self._words.warning("offset=%d names no target: %s", entry.offset, error)
+            self._logger.warning("offset=%d names no target: %s", entry.offset, error)
             return None
 
     def _log_changes(self, now: Mapping[str, Target]) -> None:
@@ -124,7 +124,7 @@
             if target.draining and not (name in before and before[name].draining)
         ]
         if came or gone or draining:
-            self._words.info(
+            self._logger.info(
                 "targets=%d came=%s gone=%s draining=%s",
                 len(now),
                 ",".join(came),
--- a/samphirecleat/usage/_counter.py
+++ b/samphirecleat/usage/_counter.py
@@ -53,7 +53,7 @@
         self._gap_s = gap_s
         self._written_at_s = -math.inf
         self._observer = observer
-        self._words = observer.log("usage")
+        self._logger = observer.log("usage")
         self._rng = rng
         self._writer = secrets.token_hex(6)
         self._next_write = 0
@@ -104,7 +104,7 @@
             if result.outcome is AppendOutcome.APPENDED:
                 break
             if not failed:
-                self._words.warning(
+                self._logger.warning(
                     "counts of windows %s not written yet: %s", sorted(taken), result.detail
                 )
             failed = True
--- a/samphirecleat/usage/_ledger.py
+++ b/samphirecleat/usage/_ledger.py
@@ -13,7 +13,7 @@
 
     def __init__(self, observer: Observer) -> None:
         """Start from an empty log."""
-        self._words = observer.log("usage")
+        self._logger = observer.log("usage")
         self._counts: dict[int, Counter[str]] = {}
         self._reports: dict[int, tuple[int, WindowCounts]] = {}
         self._keys: dict[str, int] = {}
@@ -27,7 +27,7 @@
             try:
                 record = read_entry(entry.key, entry.value)
             except UsageFormatError as error:
-                self._words.error("entry offset=%d not understood: %s", entry.offset, error)
+                self._logger.error("entry offset=%d not understood: %s", entry.offset, error)
                 continue
             self._keys[entry.key] = record.window
             match record:
--- a/samphirecleat/usage/_reporter.py
+++ b/samphirecleat/usage/_reporter.py
@@ -122,7 +122,7 @@
         self._terms = parts.terms
         self._holder = holder
         self._observer = parts.observer
-        self._words = parts.observer.log("usage")
+        self._logger = parts.observer.log("usage")
         self._store_answers = parts.store_answers
         self._ledger = UsageLedger(parts.observer)
         self._follower = TopicFollower(
@@ -163,7 +163,7 @@
                 elif self._holder.may_act_now():
                     await self._send(window)
             await self._drop_old()
-        self._words.warning("fenced: a newer holder reports")
+        self._logger.warning("fenced: a newer holder reports")
 
     def _due_windows(self) -> list[int]:
         """Return the windows whose figures may be fixed or sent now, oldest first."""
@@ -182,7 +182,7 @@
         record = ReportFixed(window, self._ledger.counts(window))
         unique = f"{self._holder.fencing_number}.{secrets.token_hex(4)}"
         result = await self._log.append(USAGE_TOPIC, [entry_of(record, unique)])
-        self._words.info(
+        self._logger.info(
             "window=%d figures fixed workspaces=%d calls=%d outcome=%s detail=%s",
             window,
             len(record.counts),
@@ -206,7 +206,7 @@
         outcome = await self._channel.report_usage(window, counts, self._holder, REPORT_TIMEOUT_S)
         late_s = self._clock.now_s() - (window + 1) * self._terms.window_s
         self._observer.counters[f"usage_reports_{outcome.value}"] += 1
-        self._words.info(
+        self._logger.info(
             "window=%d sent fencing=%d workspaces=%d calls=%d after_end=%.2f s outcome=%s",
             window,
             self._holder.fencing_number,
@@ -223,7 +223,7 @@
                 self._fenced = True
             case ReportOutcome.REFUSED:
                 self._sent.add(window)
-                self._words.error("window=%d is refused for what it says", window)
+                self._logger.error("window=%d is refused for what it says", window)
             case ReportOutcome.BUSY:
                 self._unreached = 0
                 await asyncio.sleep(RETRY_S)
