--- a/samphirecleat/controllers/admission/_crash_watch.py
+++ b/samphirecleat/controllers/admission/_crash_watch.py
@@ -8,10 +8,10 @@
 from ...requests import Call
 
 
-def mark_of(call: Call) -> bytes:
-    """Return the identity under which crashes of a call are counted.
+def call_digest(call: Call) -> bytes:
+    """Return the digest that identifies a call independently of its request key.
 
-    It covers method, service and body, not the request key. The caller is left
+    It covers method, service and body. The caller is left
     empty, because a call of this interface does not name it.
     """
     body = json.dumps(call.body, sort_keys=True, separators=(",", ":")).encode()
--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -17,7 +17,7 @@
 from ...targets import Lost, NotSent, TargetClient, TargetError
 from ..policies import Policies
 from ..targets import is_target_report_expired, is_target_section_stale
-from ._crash_watch import mark_of, start_of
+from ._crash_watch import call_digest, start_of
 from ._limiter import Limiter
 from ._pace import LatencyTracker
 from ._retries import GiveUp, RetryBudget, TryElsewhere, decide_retry
@@ -138,7 +138,7 @@
             try:
                 await self._attempt(service, target, call, answer)
                 if (guard := self._guard_of(call)) is not None:
-                    guard.record_answer(call.request_id, mark_of(call))
+                    guard.record_answer(call.request_id, call_digest(call))
                 return
             except TargetError as error:
                 await self._report_lost_run(call, target, started_at_s, error)
@@ -178,7 +178,7 @@
         guard = self._guard_of(call)
         if guard is None or not guard.has_suspects:
             return
-        standing = guard.verdict(call.request_id, mark_of(call))
+        standing = guard.verdict(call.request_id, call_digest(call))
         if is_barred(standing):
             raise _downgrade_not_run(barred_error(standing), attempts.may_have_run)
 
@@ -188,8 +188,8 @@
         """Report a cut connection to the crash guard: the target may have crashed."""
         failure, guard = error.failure, self._guard_of(call)
         if guard is not None and isinstance(failure, Lost) and failure.connection_closed:
-            mark, start = mark_of(call), start_of(target)
-            await guard.record_cut(call.request_id, mark, start, started_at_s, failure.detail)
+            digest, start = call_digest(call), start_of(target)
+            await guard.record_cut(call.request_id, digest, start, started_at_s, failure.detail)
 
     def _choose(self, service: Service, call: Call, attempted: Sequence[str]) -> TargetView | None:
         now_s = asyncio.get_running_loop().time()
--- a/samphirecleat/durable/_crash_backoff.py
+++ b/samphirecleat/durable/_crash_backoff.py
@@ -33,23 +33,23 @@
         """Record a run that was cut off, possibly because its engine crashed."""
         if self._guard is None or not error.cut:
             return
-        mark = _item_mark(run)
-        self._cut_runs[run.name] = (mark, now_s)
+        digest = _item_digest(run)
+        self._cut_runs[run.name] = (digest, now_s)
         item_id, start = run.open_item.item.item_id, target_start(run.target)
-        await self._guard.record_cut(item_id, mark, start, begun_s, error.detail)
+        await self._guard.record_cut(item_id, digest, start, begun_s, error.detail)
 
     def record_completion(self, run: ItemRun) -> None:
         """Record that an engine completed the item's text, which clears the suspicion."""
         if self._guard is not None and self._cut_runs.pop(run.name, None) is not None:
-            self._guard.record_answer(run.open_item.item.item_id, _item_mark(run))
+            self._guard.record_answer(run.open_item.item.item_id, _item_digest(run))
 
     def is_backing_off(self, name: ItemName, now_s: float) -> bool:
         """Return whether an item is barred and its backoff has not passed yet."""
         known = self._cut_runs.get(name)
         if self._guard is None or known is None:
             return False
-        mark, cut_s = known
-        return now_s - cut_s < BARRED_BACKOFF_S and self._guard.bars(mark)
+        digest, cut_s = known
+        return now_s - cut_s < BARRED_BACKOFF_S and self._guard.bars(digest)
 
     def keep_only(self, wanted_steps: Collection[str]) -> None:
         """Drop the records of items of other steps."""
@@ -58,8 +58,8 @@
         }
 
 
-def _item_mark(run: ItemRun) -> bytes:
-    """Return the guard's mark for an item; unlike a caller's call, it includes the item id."""
+def _item_digest(run: ItemRun) -> bytes:
+    """Return the digest that identifies an item to the crash guard; it covers the item id too."""
     spec, item = run.open_item.step.spec, run.open_item.item
     whose = f"{spec.workspace}/{item.item_id}"
     return request_digest("POST", spec.host, item.raw_path, whose, item.body)
--- a/samphirecleat/durable/_crash_records.py
+++ b/samphirecleat/durable/_crash_records.py
@@ -98,10 +98,10 @@
         self._due_s[digest] = min(due_s, self._due_s.get(digest, math.inf))
         self._scheduled.set()
 
-    def _needs_record(self, mark: bytes) -> bool:
+    def _needs_record(self, digest: bytes) -> bool:
         """Whether the ledger holds information on a call that the log lacks."""
-        suspect = self._ledger.suspects.get(mark)
-        written = self._written.get(mark)
+        suspect = self._ledger.suspects.get(digest)
+        written = self._written.get(digest)
         if suspect is None or not suspect.ends:
             return written is not None
         if not suspect.refused and len(suspect.ends) < MIN_RECORDED_ENDS:
@@ -126,31 +126,31 @@
                 pass
             # Records that become due together are written in one append.
             await asyncio.sleep(APPEND_INTERVAL_S)
-            due = [mark for mark, due_s in self._due_s.items() if due_s <= loop.time()]
-            for mark in due:
-                del self._due_s[mark]
-            await self._write([mark for mark in due if self._needs_record(mark)])
+            due = [digest for digest, due_s in self._due_s.items() if due_s <= loop.time()]
+            for digest in due:
+                del self._due_s[digest]
+            await self._write([digest for digest in due if self._needs_record(digest)])
 
-    async def _write(self, marks: Sequence[bytes]) -> None:
-        if not marks:
+    async def _write(self, digests: Sequence[bytes]) -> None:
+        if not digests:
             return
-        entries = [(mark.hex(), self._encode_record(mark)) for mark in marks]
+        entries = [(digest.hex(), self._encode_record(digest)) for digest in digests]
         result = await self._log.append(CRASH_TOPIC, entries)
         if result.outcome is AppendOutcome.APPENDED:
-            self._observer.counters["crash_records_written"] += len(marks)
+            self._observer.counters["crash_records_written"] += len(digests)
             self._retry_s = FIRST_RETRY_S
             return
         self._logger.warning(
-            "calls=%d not confirmed as recorded; retrying: %s", len(marks), result.detail
+            "calls=%d not confirmed as recorded; retrying: %s", len(digests), result.detail
         )
         retry_at_s = asyncio.get_running_loop().time() + self._retry_s * self._rng.uniform(1.0, 2.0)
         self._retry_s = min(MAX_RETRY_S, 2.0 * self._retry_s)
-        for mark in marks:
-            self._due_s.setdefault(mark, retry_at_s)
+        for digest in digests:
+            self._due_s.setdefault(digest, retry_at_s)
 
-    def _encode_record(self, mark: bytes) -> bytes:
+    def _encode_record(self, digest: bytes) -> bytes:
         """Encode the record of a call; an empty one deletes the earlier record."""
-        suspect = self._ledger.suspects.get(mark)
+        suspect = self._ledger.suspects.get(digest)
         if suspect is None or not suspect.ends:
             return b""
         loop_to_wall_s = time.time() - asyncio.get_running_loop().time()
@@ -175,14 +175,14 @@
             except (msgspec.MsgspecError, ValueError, KeyError, TypeError) as error:
                 self._logger.error("offset=%d cannot be decoded: %r", entry.offset, error)
 
-    def _apply_record(self, mark: bytes, value: bytes, now_s: float, *, historical: bool) -> None:
+    def _apply_record(self, digest: bytes, value: bytes, now_s: float, *, historical: bool) -> None:
         """Apply one record.
 
         :raises ValueError: when it is malformed; also KeyError, TypeError and MsgspecError.
         """
         if not value:
-            self._written.pop(mark, None)
-            self._ledger.drop(mark)
+            self._written.pop(digest, None)
+            self._ledger.drop(digest)
             return
         body: Mapping[str, Any] = msgspec.json.decode(value)
         wall_to_loop_s = now_s - time.time()
@@ -197,9 +197,9 @@
         ]
         refused = bool(body["refused"])
         for end in ends:
-            self._ledger.note_end(mark, end, now_s, fresh=not historical)
-        if refused and self._ledger.note_refused(mark, now_s):
-            self._logger.warning("call=%s barred by the log ends=%d", mark.hex(), len(ends))
-        self._written[mark] = _PersistedRecord(
+            self._ledger.note_end(digest, end, now_s, fresh=not historical)
+        if refused and self._ledger.note_refused(digest, now_s):
+            self._logger.warning("call=%s barred by the log ends=%d", digest.hex(), len(ends))
+        self._written[digest] = _PersistedRecord(
             frozenset(end.target for end in ends), refused, now_s
         )
--- a/samphirecleat/explain/_barred.py
+++ b/samphirecleat/explain/_barred.py
@@ -30,7 +30,7 @@
 
 @dataclass
 class BarredCall:
-    """One request, by its mark: the ends under it, the verdict, and what was refused for it.
+    """One request, by its digest: the ends under it, the verdict, and what was refused for it.
 
     ``oldest_evidence_s`` is the age of the oldest end at the last refusal.
     """
@@ -72,8 +72,8 @@
         _call(calls, cleared["call"]).cleared_s = line.time_s
 
 
-def _call(calls: dict[str, BarredCall], mark: str) -> BarredCall:
-    return calls.setdefault(mark, BarredCall(mark))
+def _call(calls: dict[str, BarredCall], digest: str) -> BarredCall:
+    return calls.setdefault(digest, BarredCall(digest))
 
 
 def _oldest_s(evidence: str) -> float:
--- a/tests/controllers/admission/test_crash_watch.py
+++ b/tests/controllers/admission/test_crash_watch.py
@@ -7,7 +7,7 @@
 from samphirecleat.blackboard import Blackboard, Identity, TargetView
 from samphirecleat.config import ServiceKind
 from samphirecleat.controllers.admission import other_usable_targets, registration_of
-from samphirecleat.controllers.admission._crash_watch import mark_of, start_of
+from samphirecleat.controllers.admission._crash_watch import call_digest, start_of
 from samphirecleat.crashes import CrashGuard, CrashLedger, RegistrationState
 from samphirecleat.errors import ErrorKind, Ran, RequestError
 from samphirecleat.standins import StandInPlainService
@@ -48,12 +48,12 @@
     ]
 
 
-def test_call_mark_depends_on_neither_request_key_nor_body_order() -> None:
+def test_call_digest_depends_on_neither_request_key_nor_body_order() -> None:
     async def scenario() -> None:
         call = make_call(PLAIN_SERVICE, idempotent=True)
         other = call._replace(request_id="other", body=dict(reversed(list(call.body.items()))))
-        assert mark_of(other) == mark_of(call)
-        assert mark_of(call._replace(body={"prompt": "another"})) != mark_of(call)
+        assert call_digest(other) == call_digest(call)
+        assert call_digest(call._replace(body={"prompt": "another"})) != call_digest(call)
 
     asyncio.run(scenario())
 
--- a/tests/durable/test_crash_records.py
+++ b/tests/durable/test_crash_records.py
@@ -157,7 +157,7 @@
 
 def test_malformed_record_is_skipped() -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
-        await log.append(CRASH_TOPIC, [("no mark", b"{"), (CALL.hex(), b"[1]")])
+        await log.append(CRASH_TOPIC, [("no digest", b"{"), (CALL.hex(), b"[1]")])
         fleet[0].end_runs("a", "b")
         await until(lambda: CALL in fleet[1].ledger.suspects)
 
