--- a/samphirecleat/controllers/admission/_crash_watch.py
+++ b/samphirecleat/controllers/admission/_crash_watch.py
@@ -18,29 +18,31 @@
     return request_digest(call.method, call.service, "", "", body)
 
 
-def start_of(target: TargetView) -> TargetStart:
+def target_start(target: TargetView) -> TargetStart:
     """Return the target's current process start, told apart by the reported instance."""
     return TargetStart(target.instance or target.address, target.address, 0)
 
 
-def registration_of(board: Blackboard, start: TargetStart) -> RegistrationState:
+def registration_state(board: Blackboard, start: TargetStart) -> RegistrationState:
     """Return the registration state of one process start of a target.
 
     An unreachable target still counts as registered; whether its process ended
     is decided by probing its address.
     """
     target = board.targets.get(start.address)
-    if target is None or start_of(target) != start:
+    if target is None or target_start(target) != start:
         return RegistrationState.GONE
     return RegistrationState.DRAINING if target.leaving else RegistrationState.READY
 
 
-def other_usable_targets(board: Blackboard, start: TargetStart) -> Sequence[TargetStart]:
+def sibling_targets(board: Blackboard, start: TargetStart) -> Sequence[TargetStart]:
     """Return the other usable targets of the same service."""
     target = board.targets.get(start.address)
     if target is None:
         return ()
     same_service = board.targets_of(target.service)
     return [
-        start_of(other) for other in same_service if other.address != start.address and other.usable
+        target_start(other)
+        for other in same_service
+        if other.address != start.address and other.usable
     ]
--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -17,7 +17,7 @@
 from ...targets import Lost, NotSent, TargetClient, TargetError
 from ..policies import Policies
 from ..targets import is_target_report_expired, is_target_section_stale
-from ._crash_watch import call_digest, start_of
+from ._crash_watch import call_digest, target_start
 from ._limiter import Limiter
 from ._pace import LatencyTracker
 from ._retries import GiveUp, RetryBudget, TryElsewhere, decide_retry
@@ -188,7 +188,7 @@
         """Report a cut connection to the crash guard: the target may have crashed."""
         failure, guard = error.failure, self._guard_of(call)
         if guard is not None and isinstance(failure, Lost) and failure.connection_closed:
-            digest, start = call_digest(call), start_of(target)
+            digest, start = call_digest(call), target_start(target)
             await guard.record_cut(call.request_id, digest, start, started_at_s, failure.detail)
 
     def _choose(self, service: Service, call: Call, attempted: Sequence[str]) -> TargetView | None:
--- a/samphirecleat/node.py
+++ b/samphirecleat/node.py
@@ -12,7 +12,7 @@
 from grpclib.server import Server
 
 from .blackboard import Blackboard, Identity, Member
-from .controllers.admission import Dispatcher, Limiter, other_usable_targets, registration_of
+from .controllers.admission import Dispatcher, Limiter, registration_state, sibling_targets
 from .controllers.configuration import ConfigFollower, ConfigReader
 from .controllers.membership import Discovery, Drain, Membership
 from .controllers.policies import Policies
@@ -222,8 +222,8 @@
             ledger,
             self._crash_news,
             is_listening,
-            lambda start: registration_of(board, start),
-            lambda start: other_usable_targets(board, start),
+            lambda start: registration_state(board, start),
+            lambda start: sibling_targets(board, start),
             NullEvidenceRecorder(),
             self.observer,
         )
--- a/tests/controllers/admission/test_crash_watch.py
+++ b/tests/controllers/admission/test_crash_watch.py
@@ -6,8 +6,8 @@
 
 from samphirecleat.blackboard import Blackboard, Identity, TargetView
 from samphirecleat.config import ServiceKind
-from samphirecleat.controllers.admission import other_usable_targets, registration_of
-from samphirecleat.controllers.admission._crash_watch import call_digest, start_of
+from samphirecleat.controllers.admission import registration_state, sibling_targets
+from samphirecleat.controllers.admission._crash_watch import call_digest, target_start
 from samphirecleat.crashes import CrashGuard, CrashLedger, RegistrationState
 from samphirecleat.errors import ErrorKind, Ran, RequestError
 from samphirecleat.standins import StandInPlainService
@@ -35,14 +35,14 @@
 ) -> None:
     board = Blackboard(Identity("n1", "aa", "z", "", ""))
     board.targets = {view.address: view for view in now}
-    assert registration_of(board, start_of(SERVER)) is registered
+    assert registration_state(board, target_start(SERVER)) is registered
 
 
-def test_other_usable_targets_are_the_reachable_ones_of_the_service() -> None:
+def test_sibling_targets_are_the_reachable_ones_of_the_service() -> None:
     board = Blackboard(Identity("n1", "aa", "z", "", ""))
     others = [SERVER._replace(address=f"{n}:1", reachable=n < 2) for n in range(3)]
     board.targets = {view.address: view for view in [SERVER, *others]}
-    assert [other.address for other in other_usable_targets(board, start_of(SERVER))] == [
+    assert [other.address for other in sibling_targets(board, target_start(SERVER))] == [
         "0:1",
         "1:1",
     ]
@@ -62,8 +62,8 @@
     return make_guard(
         CrashLedger(),
         is_listening,
-        lambda start: registration_of(board, start),
-        lambda start: other_usable_targets(board, start),
+        lambda start: registration_state(board, start),
+        lambda start: sibling_targets(board, start),
     )
 
 
