--- a/samphirecleat/durable/_planner.py
+++ b/samphirecleat/durable/_planner.py
@@ -195,7 +195,7 @@
     ordered: Sequence[PendingItem], placements: Sequence[Placement], token_s: float
 ) -> Mapping[str, Shortage]:
     """Return, by model, the shortage of items that were not placed."""
-    placed = {(place.item.step_id, place.item.item_id) for place in placements}
+    placed = {(p.item.step_id, p.item.item_id) for p in placements}
     short: dict[str, Shortage] = {}
     for item in ordered:
         if (item.step_id, item.item_id) in placed:
--- a/samphirecleat/durable/_weight_orders.py
+++ b/samphirecleat/durable/_weight_orders.py
@@ -32,7 +32,7 @@
     is never above ``named_version``, the newest published one. ``wanted_engines`` is the number
     of engines that the next step fills. ``keeps_runs`` means that runs continue while their
     engine loads. ``waits`` is set if no engine has both a suitable version and a free slot for
-    some item, ``pressed`` if such an item will be late unless it starts soon. ``spare_s`` is the
+    some item, ``urgent`` if such an item will be late unless it starts soon. ``slack_s`` is the
     slack of the most urgent waiting item in seconds.
     """
 
@@ -43,8 +43,8 @@
     wanted_engines: int
     keeps_runs: bool = True
     waits: bool = False
-    pressed: bool = False
-    spare_s: float = math.inf
+    urgent: bool = False
+    slack_s: float = math.inf
 
 
 class OrderableEngine(NamedTuple):
@@ -109,15 +109,15 @@
     ready = [e for e in engines if not e.slow and _has_version(e, model, demand.next_version)]
     ready_share = len(ready) / max(1, min(demand.wanted_engines, len(engines)))
     if demand.waits and not usable:
-        urgency = (0, demand.spare_s, ready_share)
-    elif demand.pressed:
-        urgency = (1, demand.spare_s, ready_share)
+        urgency = (0, demand.slack_s, ready_share)
+    elif demand.urgent:
+        urgency = (1, demand.slack_s, ready_share)
     elif ready_share < 1.0:
         urgency = (2, ready_share, 0.0)
     else:
         return None
-    # Runs of open steps are delayed only for pressed items, or if no engine can serve the steps.
-    may_delay_runs = demand.pressed or not usable
+    # Runs of open steps are delayed only for urgent items, or if no engine can serve the steps.
+    may_delay_runs = demand.urgent or not usable
     behind_version = demand.needed_version if ready_share >= 1.0 else demand.next_version
     candidates = [
         engine
--- a/samphirecleat/explain/_gaps.py
+++ b/samphirecleat/explain/_gaps.py
@@ -16,7 +16,7 @@
     NEW_RUNNER = "the service changed its runner"
     NO_VERSION = "no engine had the version"
     NO_ENGINE = "no engine or no runner"
-    NO_PLACE = "no engine had a place"
+    NO_SLOT = "no engine had a place"
     BROKEN_RUN = "a run broke off"
     SCORE = "its score"
     LISTING = "listing and reading"
@@ -85,7 +85,7 @@
         return GapCause.BROKEN_RUN
     starts_s = [item.runs[0].started_s for item in step.items.values() if item.runs]
     if any(started_s < until_s - LEAST_GAP_S for started_s in starts_s):
-        return GapCause.NO_PLACE
+        return GapCause.NO_SLOT
     if _any_within(fleet.orders_s, from_s, until_s):
         return GapCause.NO_VERSION
     return GapCause.NO_ENGINE
--- a/tests/durable/test_planner.py
+++ b/tests/durable/test_planner.py
@@ -125,13 +125,13 @@
     engines = [engine(f"e{number}") for number in range(5)]
     engines[3] = engines[3]._replace(warm=True)
     placed = place_items([pending("a", 500)], engines, TOKEN_S)
-    assert [place.instance for place in placed] == ["e3"]
+    assert [placement.instance for placement in placed] == ["e3"]
 
 
 def test_an_idle_engine_is_preferred_over_a_busy_one_with_a_connection() -> None:
     engines = [engine("idle"), engine("warm", running=4)._replace(warm=True)]
     placed = place_items([pending("a", 500)], engines, TOKEN_S)
-    assert [place.instance for place in placed] == ["idle"]
+    assert [placement.instance for placement in placed] == ["idle"]
 
 
 def test_a_workspace_of_higher_priority_starts_first_without_starvation() -> None:
--- a/tests/durable/test_weight_demand.py
+++ b/tests/durable/test_weight_demand.py
@@ -65,11 +65,11 @@
     demand = model_demand("m", named, lag, oldest, 2, keeps_runs=True, shortage=None)
     assert (demand.needed_version, demand.next_version) == (needed, upcoming)
     assert not demand.waits
-    assert demand.spare_s == math.inf
+    assert demand.slack_s == math.inf
 
 
 def test_shortage_is_part_of_the_demand() -> None:
     demand = model_demand("m", 7, 1, [], 2, keeps_runs=False, shortage=Shortage(1.0))
     assert demand.waits
-    assert demand.pressed
+    assert demand.urgent
     assert not demand.keeps_runs
--- a/tests/durable/test_weight_orders.py
+++ b/tests/durable/test_weight_orders.py
@@ -24,19 +24,19 @@
     *,
     named: int = 3,
     wanted: int = 5,
-    spare_s: float = math.inf,
+    slack_s: float = math.inf,
     keeps_runs: bool = True,
 ) -> ModelDemand:
     """Return the demand of steps that accept the newest version and the one before it.
 
-    An item waits if ``spare_s`` is given, and is pressed if that is less than 2.5 s.
+    An item waits if ``slack_s`` is given, and is urgent if that is less than 2.5 s.
     """
-    waits, pressed = spare_s < math.inf, spare_s < 2.5
-    return ModelDemand(model, named, named - 1, named, wanted, keeps_runs, waits, pressed, spare_s)
+    waits, urgent = slack_s < math.inf, slack_s < 2.5
+    return ModelDemand(model, named, named - 1, named, wanted, keeps_runs, waits, urgent, slack_s)
 
 
 @pytest.mark.parametrize(
-    ("engines", "pressed", "expected"),
+    ("engines", "urgent", "expected"),
     [
         (
             [engine("a", 1), engine("b", 1), engine("c", 1), engine("d", 1), engine("e", 1)],
@@ -100,7 +100,7 @@
         "two of five concurrently",
         "idle engines only",
         "no engine with runs",
-        "pressed: unusable engines",
+        "urgent: unusable engines",
         "no usable engine",
         "one engine is loading",
         "loading another model",
@@ -109,10 +109,10 @@
     ],
 )
 def test_loads_that_wait_for_runs_go_to_idle_engines(
-    engines: list[OrderableEngine], pressed: bool, expected: list[str]
+    engines: list[OrderableEngine], urgent: bool, expected: list[str]
 ) -> None:
-    spare_s = 1.0 if pressed else math.inf
-    got = decide_loads(engines, [demand(spare_s=spare_s, keeps_runs=False)])
+    slack_s = 1.0 if urgent else math.inf
+    got = decide_loads(engines, [demand(slack_s=slack_s, keeps_runs=False)])
     assert [load.instance for load in got] == expected
 
 
@@ -131,7 +131,7 @@
     models, while engines are idle.
     """
     engines = shared(6, {"a": [2] * 6, "b": [2] * 6, "c": [1] * 6})
-    demands = [demand("a", wanted=6), demand("b", wanted=6), demand("c", wanted=2, spare_s=3.0)]
+    demands = [demand("a", wanted=6), demand("b", wanted=6), demand("c", wanted=2, slack_s=3.0)]
     loads = decide_loads(engines, demands)
     assert len(loads) == 2
     assert loads[0].model == "c"
@@ -139,7 +139,7 @@
 
 def test_waiting_step_with_the_least_time_left_goes_first() -> None:
     engines = shared(6, {"a": [1] * 6, "b": [1] * 6})
-    loads = decide_loads(engines, [demand("a", spare_s=4.0), demand("b", spare_s=3.0)])
+    loads = decide_loads(engines, [demand("a", slack_s=4.0), demand("b", slack_s=3.0)])
     assert [load.model for load in loads] == ["b", "a"]
 
 
@@ -174,10 +174,10 @@
     assert len(decide_loads(engines, [demand(wanted=2)])) == 1
 
 
-def test_pressed_model_does_not_delay_runs_of_other_models() -> None:
+def test_urgent_model_does_not_delay_runs_of_other_models() -> None:
     """The items of one model lack slots; an engine with its old version runs only other models."""
     engines = [OrderableEngine("e0", {"a": 1, "b": 2}, {"b": 5})]
-    assert decide_loads(engines, [demand("a", spare_s=1.0)]) == [Load("e0", "a")]
+    assert decide_loads(engines, [demand("a", slack_s=1.0)]) == [Load("e0", "a")]
     assert decide_loads(engines, [demand("b", named=2, wanted=1)]) == []
 
 
@@ -200,9 +200,9 @@
     fewer slots.
     """
     engines = [engine("a", 2, 12), engine("b", 2, 12), engine("c", 2, 12)]
-    assert decide_loads(engines, [demand(spare_s=4.0)]) == []
+    assert decide_loads(engines, [demand(slack_s=4.0)]) == []
     with_unusable = [*engines, engine("d", 1)]
-    assert [load.instance for load in decide_loads(with_unusable, [demand(spare_s=4.0)])] == ["d"]
+    assert [load.instance for load in decide_loads(with_unusable, [demand(slack_s=4.0)])] == ["d"]
 
 
 @pytest.mark.parametrize(
--- a/tests/explain/test_explain.py
+++ b/tests/explain/test_explain.py
@@ -60,7 +60,7 @@
                 whole(3.0, "a"),
                 completed(3.0, "a"),
             ],
-            [(GapCause.NO_PLACE, 2.0)],
+            [(GapCause.NO_SLOT, 2.0)],
         ),
         (
             [
