--- a/samphirecleat/bench/_blame.py
+++ b/samphirecleat/bench/_blame.py
@@ -146,7 +146,7 @@
 
         def cut(at_s: float) -> None:
             self._cut += 1
-            self._ledger.note_end(mark, RunEnd(start, now_s, at_s, "n"), at_s)
+            self._ledger.record_end(mark, RunEnd(start, now_s, at_s, "n"), at_s)
             self._ledger.recall_answer(mark, at_s)
             if self._ledger.awaits_verdict(mark):
                 self._look_at_others(at_s)
@@ -156,7 +156,7 @@
             if self._running[target].pop(run, None) is not None:
                 self._ledger.remember_answer(mark, at_s)
                 if mark in self._ledger.suspects:
-                    self._ledger.note_answer(mark, at_s)
+                    self._ledger.record_answer(mark, at_s)
 
         self._running[target][run] = cut
         self._at(now_s + self._rng.uniform(*RUN_S), answer)
@@ -177,7 +177,7 @@
         for target in self._rng.sample(range(TARGETS), OTHERS_LOOKED_AT):
             if not self._up[target]:
                 name = f"{target}@{self._starts[target]}"
-                self._ledger.note_ended_target(name, now_s, now_s)
+                self._ledger.record_ended_target(name, now_s, now_s)
 
     def _crash_one(self, now_s: float) -> None:
         self._end(self._faults.randrange(TARGETS), now_s)
--- a/samphirecleat/bench/_crashes.py
+++ b/samphirecleat/bench/_crashes.py
@@ -168,7 +168,7 @@
 
     def _see(self, mark: bytes, number: int, end: RunEnd) -> None:
         node = self._nodes[number]
-        node.ledger.note_end(mark, end, end.ended_s)
+        node.ledger.record_end(mark, end, end.ended_s)
         node.news.announce_end(mark, end.target, end.ended_s)
         ends = list(node.ledger.suspects[mark].ends.values())
         if 0 < self._way.log_from <= len(ends):
@@ -182,7 +182,7 @@
     def _hear_of(self, node: _Node, mark: bytes, ends: Sequence[RunEnd]) -> Callable[[float], None]:
         def hear(now_s: float) -> None:
             for end in ends:
-                node.ledger.note_end(mark, end, now_s)
+                node.ledger.record_end(mark, end, now_s)
 
         return hear
 
@@ -194,7 +194,7 @@
         for other in self._nodes:
             suspect = other.ledger.suspects.get(mark)
             for end in suspect.ends.values() if suspect is not None else ():
-                node.ledger.note_end(mark, end, at_s)
+                node.ledger.record_end(mark, end, at_s)
         return 2.0 * max(self._network.uniform(*DATAGRAM_S) for _ in range(self._count))
 
     def _beat_of(self, number: int) -> Callable[[float], None]:
--- a/samphirecleat/bench/_state_sizes.py
+++ b/samphirecleat/bench/_state_sizes.py
@@ -112,7 +112,7 @@
     for index in range(TARGETS):
         address = f"10.0.{index // 250}.{index % 250}:8000"
         view = TargetView(address, "engine", "zone-a", f"boot-{index}", 7, reported_at_s=index)
-        news.note(view, 10.0, 10.0)
+        news.record_report(view, 10.0, 10.0)
         written[address] = view._replace(running=1)
     return news, written
 
--- a/samphirecleat/config/_fold.py
+++ b/samphirecleat/config/_fold.py
@@ -181,11 +181,11 @@
         if record.offset > covers_to:
             state = _fold_record(state, record)
         else:
-            state = _note_decided(state, record, restatement)
+            state = _record_decided(state, record, restatement)
     return state
 
 
-def _note_decided(state: ConfigState, record: LogRecord, settled: Restatement) -> ConfigState:
+def _record_decided(state: ConfigState, record: LogRecord, settled: Restatement) -> ConfigState:
     """Keep the outcome of a publication that others decided before this fold could."""
     publication = read_record(record.payload)
     if not isinstance(publication, Publication) or record.offset < settled.revision:
--- a/samphirecleat/controllers/steps/_step_registry.py
+++ b/samphirecleat/controllers/steps/_step_registry.py
@@ -65,7 +65,7 @@
                 ErrorKind.STEP_CONFLICT, f'step "{spec.step_id}" already exists with other contents'
             )
         step.update_held(client_id, held, now_s)
-        self.version_forecast.note_version(spec.trainer, version)
+        self.version_forecast.record_version(spec.trainer, version)
         self._stats.setdefault(spec.trainer, TrainerStats(now_s))
         self.work_available.set()
         return step
@@ -94,7 +94,7 @@
         """
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
-        self.version_forecast.note_pull(self.find(trainer, step_id), pull.version)
+        self.version_forecast.record_pull(self.find(trainer, step_id), pull.version)
         self.version_forecast.begin_pull(trainer)
         self.work_available.set()
         try:
--- a/samphirecleat/controllers/steps/_step_runner.py
+++ b/samphirecleat/controllers/steps/_step_runner.py
@@ -180,7 +180,7 @@
     async def _produce(self, step: Step, run: Run, excluded: frozenset[str]) -> None:
         loop = asyncio.get_running_loop()
         try:
-            sample = await self._producer.produce(step.spec, run, excluded, self._note_span)
+            sample = await self._producer.produce(step.spec, run, excluded, self._record_span)
         except RequestError as error:
             self._observer.counters[f"samples_failed_{error.kind.value}"] += 1
             step.record_failure(run, loop.time(), self._rng.random())
@@ -193,8 +193,8 @@
         finally:
             self._registry.work_available.set()
 
-    def _note_span(self, run: Run, span: Span) -> None:
-        self._streamed.note_token(run.target, span.version, asyncio.get_running_loop().time())
+    def _record_span(self, run: Run, span: Span) -> None:
+        self._streamed.record_token(run.target, span.version, asyncio.get_running_loop().time())
 
     def _back_off(self, service: str, error: RequestError, now_s: float) -> None:
         """Pause an overloaded service's runs; the jitter keeps nodes from retrying in unison."""
--- a/samphirecleat/controllers/targets/_target_news.py
+++ b/samphirecleat/controllers/targets/_target_news.py
@@ -52,7 +52,7 @@
             del self.polled_targets[address]
         self._by_key = {k: a for k, a in self._by_key.items() if a in self.polled_targets}
 
-    def note(
+    def record_report(
         self, view: TargetView, polled_at_s: float, now_s: float, *, announce_new: bool = False
     ) -> bool:
         """Merge a report of a target; return whether anything but its load changed.
--- a/samphirecleat/controllers/targets/_target_watch.py
+++ b/samphirecleat/controllers/targets/_target_watch.py
@@ -171,7 +171,7 @@
         """Return the targets that this node polls for all nodes."""
         return self._owned
 
-    def note_refused(self, address: str) -> None:
+    def record_refusal(self, address: str) -> None:
         """Take a target that refused a connection of this node out of use until it answers."""
         known = self._board.targets.get(address)
         if known is not None and known.reachable:
@@ -204,7 +204,7 @@
         if row.address in self._suspected and row.reachable:
             self._suspected[row.address] = min(self._suspected[row.address], now_s)
             return
-        self.gossip.note(
+        self.gossip.record_report(
             view_from_row(row, configured, now_s), now_s - row.poll_age_ms / 1000.0, now_s
         )
 
@@ -222,7 +222,9 @@
             jitter = 0.5 + self._rng.random()
             self._suspected[address] = polled_at_s + SUSPECT_RETRY_S * jitter
         if address in self._service_targets:
-            self.gossip.note(view, polled_at_s, polled_at_s, announce_new=address in self._owned)
+            self.gossip.record_report(
+                view, polled_at_s, polled_at_s, announce_new=address in self._owned
+            )
 
     def _refresh_service_targets(self) -> None:
         board = self._board
--- a/samphirecleat/controllers/weights/_coordinator.py
+++ b/samphirecleat/controllers/weights/_coordinator.py
@@ -144,7 +144,7 @@
                 self._observer.log("weights").warning("could not read the weight store: %s", error)
         else:
             self._store_failures[service] = 0
-            self._note_latest(service, info)
+            self._record_latest_version(service, info)
         doublings = min(MAX_STORE_DOUBLINGS, self._store_failures[service])
         wait_s = min(MAX_STORE_POLL_DELAY_S, STORE_POLL_PERIOD_S * 2.0**doublings)
         now_s = asyncio.get_running_loop().time()
@@ -152,7 +152,7 @@
 
     async def _coordinate(self, service: Service) -> None:
         now_s = asyncio.get_running_loop().time()
-        self._note_rollout_complete(service.name, now_s)
+        self._record_completed_rollout(service.name, now_s)
         if self._fencing_number(service.name, now_s) is None:
             return
         view = SwapView(
@@ -228,14 +228,14 @@
             return None
         return fencing
 
-    def _note_latest(self, service: str, info: StoreInfo) -> None:
+    def _record_latest_version(self, service: str, info: StoreInfo) -> None:
         known = self._board.weights.get(service)
         if known is None or known.latest_version < info.latest_version:
             now_s = asyncio.get_running_loop().time()
             known = WeightsView(info.latest_version, info.parallel_loads, now_s, math.inf)
         self._board.weights[service] = known._replace(parallel_loads=info.parallel_loads)
 
-    def _note_rollout_complete(self, service: str, now_s: float) -> None:
+    def _record_completed_rollout(self, service: str, now_s: float) -> None:
         known = self._board.weights[service]
         if known.everywhere_at_s != math.inf:
             return
--- a/samphirecleat/controllers/weights/_leases.py
+++ b/samphirecleat/controllers/weights/_leases.py
@@ -259,12 +259,12 @@
             for name, timestamps in self._timestamps.items():
                 self._timestamps[name] = timestamps._replace(observed_at_s=now_s)
         for record in batch.records:
-            self._note_record(record, now_s)
+            self._update_timestamps(record, now_s)
         self._board.leases = dict(self._table.leases)
         # Only an empty batch shows that the end of the stream was reached.
         self._is_caught_up = self._is_caught_up or not batch.records
 
-    def _note_record(self, record: LogRecord, now_s: float) -> None:
+    def _update_timestamps(self, record: LogRecord, now_s: float) -> None:
         claim = parse_claim(record.payload)
         lease = self._table.leases.get(claim.lease) if claim is not None else None
         if claim is not None and lease is not None:
--- a/samphirecleat/controllers/weights/_streamed_versions.py
+++ b/samphirecleat/controllers/weights/_streamed_versions.py
@@ -27,7 +27,7 @@
         self._board = board
         self._reported: dict[str, _ReportedVersion] = {}
 
-    def note_token(self, address: str, version: int, now_s: float) -> None:
+    def record_token(self, address: str, version: int, now_s: float) -> None:
         """Record that a target sent a token of ``version``."""
         target = self._board.targets.get(address)
         if target is None:
--- a/samphirecleat/controllers/weights/_version_forecast.py
+++ b/samphirecleat/controllers/weights/_version_forecast.py
@@ -17,18 +17,18 @@
         self._paces: dict[str, TrainerProgress] = {}
         self._pulls: Counter[str] = Counter()
 
-    def note_version(self, trainer: str, version: int) -> None:
+    def record_version(self, trainer: str, version: int) -> None:
         """Record a version that a trainer named."""
         pace = self._paces.get(trainer, TrainerProgress())
         self._paces[trainer] = pace._replace(version=max(pace.version, version))
 
-    def note_pull(self, step: Step, version: int) -> None:
+    def record_pull(self, step: Step, version: int) -> None:
         """Record the version that a pull of a step names; call it before the pull is answered."""
         trainer = step.spec.trainer
         pace = self._paces.get(trainer, TrainerProgress())
         if step.pulled and not step.done and NO_VERSION < pace.version < version:
             self._paces[trainer] = pace._replace(advances_within_steps=True)
-        self.note_version(trainer, version)
+        self.record_version(trainer, version)
 
     def begin_pull(self, trainer: str) -> None:
         """Record that a pull begins to wait; pair it with :meth:`end_pull`."""
--- a/samphirecleat/crashes/_guard.py
+++ b/samphirecleat/crashes/_guard.py
@@ -136,7 +136,7 @@
         if suspect is None or not suspect.ends:
             return
         ends = len(suspect.ends)
-        if self._ledger.note_answer(digest, now_s):
+        if self._ledger.record_answer(digest, now_s):
             self._logger.info(
                 "request=%s call=%s answered cleared_ends=%d", request_id, digest.hex(), ends
             )
@@ -231,7 +231,7 @@
         now_s = asyncio.get_running_loop().time()
         name = cut.start.name
         end = RunEnd(name, cut.begun_s, cut.cut_s, self._node_id)
-        if not self._ledger.note_end(cut.digest, end, now_s):
+        if not self._ledger.record_end(cut.digest, end, now_s):
             return
         self._observer.counters["crash_ends_seen"] += 1
         self._gossip.announce_end(cut.digest, name, now_s)
@@ -246,7 +246,7 @@
         listening = await asyncio.gather(*(self._probe(other, now_s) for other in sample))
         gone = [other.name for other, is_up in zip(sample, listening, strict=True) if not is_up]
         for name in gone:
-            if self._ledger.note_ended_target(name, now_s, now_s):
+            if self._ledger.record_ended_target(name, now_s, now_s):
                 self._gossip.announce(NO_CALL, name)
         self._logger.info(
             "call=%s probed other targets looked_at=%d ended=%s",
--- a/samphirecleat/crashes/_ledger.py
+++ b/samphirecleat/crashes/_ledger.py
@@ -49,12 +49,12 @@
         self._answered: OrderedDict[bytes, float] = OrderedDict()
         self._undecided: set[bytes] = set()
 
-    def note_end(self, digest: bytes, end: RunEnd, now_s: float, *, fresh: bool = True) -> bool:
+    def record_end(self, digest: bytes, end: RunEnd, now_s: float, *, fresh: bool = True) -> bool:
         """Record a run that ended with its target; return False if it is known or irrelevant.
 
         An end that isn't ``fresh`` happened before this process started and proves nothing alone.
         """
-        self.note_ended_target(end.target, end.ended_s, now_s)
+        self.record_ended_target(end.target, end.ended_s, now_s)
         suspect = self._get_or_add(digest)
         if end.target in suspect.ends or end.begun_s <= suspect.answered_s:
             return False
@@ -67,7 +67,7 @@
             self._undecided.add(digest)
         return True
 
-    def note_ended_target(self, target: str, at_s: float, now_s: float) -> bool:
+    def record_ended_target(self, target: str, at_s: float, now_s: float) -> bool:
         """Record a crashed target, whatever it ran; return False if it is known or too old."""
         if now_s - at_s > ENDED_TARGET_TTL_S or target in self.ended_targets:
             return False
@@ -91,10 +91,10 @@
         suspect = self._get_or_add(digest)
         if answered_s <= suspect.answered_s:
             return False
-        self.note_answer(digest, answered_s)
+        self.record_answer(digest, answered_s)
         return True
 
-    def note_answer(self, digest: bytes, answered_s: float) -> bool:
+    def record_answer(self, digest: bytes, answered_s: float) -> bool:
         """Record that a target answered a call: earlier crashes under it have another cause.
 
         Return False if that clears nothing. The answer is kept for a while, since reports of
@@ -111,7 +111,7 @@
             suspect.refused = False
         return cleared
 
-    def note_refused(self, digest: bytes, now_s: float) -> bool:
+    def record_refusal(self, digest: bytes, now_s: float) -> bool:
         """Record that another node refuses a call; return False if that is known."""
         suspect = self._get_or_add(digest)
         suspect.seen_at_s = now_s
--- a/samphirecleat/crashes/_news.py
+++ b/samphirecleat/crashes/_news.py
@@ -64,16 +64,16 @@
         for row in message.crashes:
             ended_s = now_s - row.ended_age_ms / 1000.0
             if row.digest == NO_CALL:
-                if self._ledger.note_ended_target(row.target, ended_s, now_s):
+                if self._ledger.record_ended_target(row.target, ended_s, now_s):
                     self.announce(NO_CALL, row.target)
                 continue
             if row.target == ANSWERED:
-                if self._ledger.note_answer(row.digest, ended_s):
+                if self._ledger.record_answer(row.digest, ended_s):
                     self.announce(row.digest)
                 continue
             begun_s = now_s - row.begun_age_ms / 1000.0
             end = RunEnd(row.target, begun_s, ended_s, row.node)
-            if self._ledger.note_end(row.digest, end, now_s):
+            if self._ledger.record_end(row.digest, end, now_s):
                 self.announce_end(row.digest, row.target, now_s)
 
     def _next_reports(self) -> list[tuple[bytes, str]]:
--- a/samphirecleat/durable/_crash_records.py
+++ b/samphirecleat/durable/_crash_records.py
@@ -197,8 +197,8 @@
         ]
         refused = bool(body["refused"])
         for end in ends:
-            self._ledger.note_end(digest, end, now_s, fresh=not historical)
-        if refused and self._ledger.note_refused(digest, now_s):
+            self._ledger.record_end(digest, end, now_s, fresh=not historical)
+        if refused and self._ledger.record_refusal(digest, now_s):
             self._logger.warning("call=%s barred by the log ends=%d", digest.hex(), len(ends))
         self._written[digest] = _PersistedRecord(
             frozenset(end.target for end in ends), refused, now_s
--- a/samphirecleat/durable/_duty.py
+++ b/samphirecleat/durable/_duty.py
@@ -250,7 +250,7 @@
             boot_time_s(),
         )
         duty = await factory(subject, holder)
-        duty.start(partial(self._note_failure, subject, claim.offset))
+        duty.start(partial(self._restart_after_failure, subject, claim.offset))
         self._held[subject] = _HeldDuty(duty, claim.offset)
         self._logger.info(
             "subject=%s taken fencing=%d follows=%s", subject, claim.offset, claim.previous_node_id
@@ -265,7 +265,7 @@
 
         return may_act
 
-    def _note_failure(self, subject: str, offset: int, error: BaseException) -> None:
+    def _restart_after_failure(self, subject: str, offset: int, error: BaseException) -> None:
         """Stop a duty whose task failed; the next check restarts it, so that no work is stuck."""
         self._logger.error("a task of a duty failed, restarting the duty", exc_info=error)
         held = self._held.get(subject)
--- a/samphirecleat/durable/_duty_tasks.py
+++ b/samphirecleat/durable/_duty_tasks.py
@@ -19,14 +19,14 @@
     ) -> None:
         """Run all of ``works`` concurrently; ``on_failure`` gets each exception."""
 
-        def note_end(task: asyncio.Task[None]) -> None:
+        def report_failure(task: asyncio.Task[None]) -> None:
             error = None if task.cancelled() else task.exception()
             if error is not None:
                 on_failure(error)
 
         for work in works:
             task = asyncio.ensure_future(work)
-            task.add_done_callback(note_end)
+            task.add_done_callback(report_failure)
             self._tasks.append(task)
 
     def stop(self) -> None:
--- a/samphirecleat/durable/_engine_stats.py
+++ b/samphirecleat/durable/_engine_stats.py
@@ -23,7 +23,7 @@
     versions: dict[str, int] = field(default_factory=dict)
     groups: set[str] = field(default_factory=set)
 
-    def note_version(self, model: str, version: int) -> None:
+    def record_version(self, model: str, version: int) -> None:
         """Record the version that generated an event."""
         self.versions[model] = max(version, self.versions.get(model, 0))
 
--- a/samphirecleat/durable/_item_run.py
+++ b/samphirecleat/durable/_item_run.py
@@ -67,7 +67,7 @@
             if piece is None:
                 break
             _add_piece(run, piece)
-            stats.note_version(spec.model, piece.version)
+            stats.record_version(spec.model, piece.version)
             now_s = loop.time()
             run.events += 1
             if run.events > 1:
--- a/samphirecleat/durable/_orderer.py
+++ b/samphirecleat/durable/_orderer.py
@@ -89,7 +89,7 @@
         """Return the highest version of a model known to be loaded at an engine."""
         ...
 
-    def note_version(self, instance: str, model: str, version: int) -> None:
+    def record_version(self, instance: str, model: str, version: int) -> None:
         """Record the version of a model that an engine reported."""
         ...
 
@@ -221,14 +221,14 @@
             state.next_check_at_s = now_s + LOAD_CHECK_INTERVAL_S
             self._spawn(self._check_load(target, model, state))
 
-    def _note_version(self, state: _EngineModelState, version: int) -> None:
+    def _record_version(self, state: _EngineModelState, version: int) -> None:
         """Record a version from the report of an engine.
 
         Its registration shows the version a second later, and not at all while the store is
         unavailable, which would delay the items that wait for the version.
         """
         state.version = max(state.version, version)
-        self._work.note_version(*state.key, state.version)
+        self._work.record_version(*state.key, state.version)
 
     def _finish_load(self, state: _EngineModelState) -> None:
         state.loading_version = 0
@@ -244,7 +244,7 @@
         report = await self._channel.report(target)
         if report is None or not state.loading_version:
             return
-        self._note_version(state, report.versions.get(model, 0))
+        self._record_version(state, report.versions.get(model, 0))
         self._orders_accepted[target.instance] = report.orders_accepted
         if state.version >= state.loading_version:
             self._finish_load(state)
@@ -263,7 +263,7 @@
                 self._back_off(state, REJECTED_BACKOFF_S)
                 return
             self._orders_accepted[target.instance] = report.orders_accepted
-            self._note_version(state, report.versions.get(model, 0))
+            self._record_version(state, report.versions.get(model, 0))
             if state.version >= version:
                 self._finish_load(state)
                 return
@@ -296,7 +296,7 @@
                 self._orders_accepted[target.instance] = expected + 1
                 state.next_check_at_s = now_s + FIRST_LOAD_CHECK_S
             case OrderOutcome.HOLDS:
-                self._note_version(state, version)
+                self._record_version(state, version)
                 self._finish_load(state)
             case OrderOutcome.FENCED:
                 self._back_off(state, REJECTED_BACKOFF_S)
--- a/samphirecleat/durable/_run_pool.py
+++ b/samphirecleat/durable/_run_pool.py
@@ -97,7 +97,7 @@
         try:
             await stream_item(run, self._engines, self._work.engine_stats.of(run.target.instance))
         except GenerationError as error:
-            self._note_failure(run, error)
+            self._record_failure(run, error)
             await self._crash_backoff.record_cut(run, began_s, error, loop.time())
         except asyncio.CancelledError:
             self._logger.info("item=%s run cancelled", run.open_item.item.item_id)
@@ -119,7 +119,7 @@
             )
             self._finisher.score(run.open_item, run.draft)
 
-    def _note_failure(self, run: ItemRun, error: GenerationError) -> None:
+    def _record_failure(self, run: ItemRun, error: GenerationError) -> None:
         now_s = asyncio.get_running_loop().time()
         self._logger.warning(
             "item=%s target=%s ended=%s at_event=%d detail=%s",
--- a/samphirecleat/durable/_server_orders.py
+++ b/samphirecleat/durable/_server_orders.py
@@ -94,14 +94,14 @@
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             now_s = asyncio.get_running_loop().time()
-            self._note_wave(now_s)
+            self._record_wave(now_s)
             spec = self._routes.config.services.get(self._work.service)
             if spec is None or spec.scaling is None:
                 continue
             if self._sees_targets() and self._holder.may_act_now():
                 await self._adjust(spec.scaling, now_s)
 
-    def _note_wave(self, now_s: float) -> None:
+    def _record_wave(self, now_s: float) -> None:
         items = self._work.items_to_generate()
         while self._waves and self._waves[-1][1] <= items:
             self._waves.pop()
--- a/samphirecleat/durable/_service_work.py
+++ b/samphirecleat/durable/_service_work.py
@@ -35,7 +35,7 @@
         self.scoring: dict[ItemName, asyncio.Task[None]] = {}  # Finisher
         self.submitted: set[ItemName] = set()  # Finisher
         self.shortages: Mapping[str, Shortage] = {}  # StepRunner
-        self.engine_stats = EngineStatsTable()  # RunPool, and Orderer by note_version
+        self.engine_stats = EngineStatsTable()  # RunPool, and Orderer by record_version
         self.changed = asyncio.Event()
         self._routes = routes
         self._loading: set[tuple[str, str]] = set()
@@ -130,9 +130,9 @@
         streamed = self.engine_stats.of(target.instance).versions.get(model, 0)
         return max(target.versions.get(model, 1), streamed)
 
-    def note_version(self, instance: str, model: str, version: int) -> None:
+    def record_version(self, instance: str, model: str, version: int) -> None:
         """Record the version of a model that an engine reported itself, and wake the runner."""
-        self.engine_stats.of(instance).note_version(model, version)
+        self.engine_stats.of(instance).record_version(model, version)
         self.changed.set()
 
     def is_slow(self, instance: str) -> bool:
--- a/samphirecleat/node.py
+++ b/samphirecleat/node.py
@@ -187,7 +187,7 @@
             self.peers,
         )
         self.target_watch = TargetWatch(board, client, timings.watch_s, self._rng)
-        self.dispatcher.on_connection_refused = self.target_watch.note_refused
+        self.dispatcher.on_connection_refused = self.target_watch.record_refusal
         self.target_watch.on_pause = self.discovery.request_refresh
         self.membership = Membership(
             board,
--- a/samphirecleat/platform/_metadata_store.py
+++ b/samphirecleat/platform/_metadata_store.py
@@ -282,20 +282,20 @@
             ) as response:
                 reply = StoreReply(response.status, await response.read())
         except RESPONSE_ERRORS as error:
-            self._note(way, works=False, detail=repr(error))
+            self._record_result(way, works=False, detail=repr(error))
             if isinstance(error, TimeoutError):
                 self._patience_s = min(LONGEST_PATIENCE_S, self._patience_s * 1.6)
             never_sent = isinstance(error, aiohttp.ClientConnectorError)
             raise _Unanswered(repr(error), may_be_done=not never_sent) from error
         self._patience_s = max(SHORTEST_PATIENCE_S, self._patience_s * 0.9)
         refused = reply.status in (429, 502, 503, 504)
-        self._note(way, works=not refused, detail=f"HTTP {reply.status}")
+        self._record_result(way, works=not refused, detail=f"HTTP {reply.status}")
         return reply
 
-    def _note(self, way: Way, *, works: bool, detail: str) -> None:
+    def _record_result(self, way: Way, *, works: bool, detail: str) -> None:
         if way.is_direct and works != self._ways.direct_works:
             self._logger.warning("direct=%s detail=%s", "regained" if works else "lost", detail)
-        self._ways.note(way, asyncio.get_running_loop().time(), works=works)
+        self._ways.record_result(way, asyncio.get_running_loop().time(), works=works)
         if not self._ways.direct_works and (self._probing is None or self._probing.done()):
             self._probing = asyncio.ensure_future(self._probe())
 
--- a/samphirecleat/platform/_store_ways.py
+++ b/samphirecleat/platform/_store_ways.py
@@ -66,8 +66,8 @@
             drawn = [self._good_peer, *others][:PEERS_TRIED]
         return drawn
 
-    def note(self, way: Way, now_s: float, *, works: bool) -> None:
-        """Note what became of a call."""
+    def record_result(self, way: Way, now_s: float, *, works: bool) -> None:
+        """Record whether a call worked."""
         if way.is_direct:
             self.direct_works = works
         elif works:
--- a/samphirecleat/serving/_target_table.py
+++ b/samphirecleat/serving/_target_table.py
@@ -89,7 +89,7 @@
 
     def answered(self, target: Target, duration_s: float, now_s: float) -> None:
         """Record the duration of a complete answer."""
-        self._note_duration(target, duration_s, now_s)
+        self._record_duration(target, duration_s, now_s)
         self._backoff_until_s.pop(target.instance, None)
 
     def abandoned(self, target: Target, waited_s: float, now_s: float) -> None:
@@ -106,9 +106,9 @@
             else _median_s(d.mean_s for d in self._durations.values())
         )
         if waited_s > mean_s:
-            self._note_duration(target, waited_s, now_s)
+            self._record_duration(target, waited_s, now_s)
 
-    def _note_duration(self, target: Target, duration_s: float, now_s: float) -> None:
+    def _record_duration(self, target: Target, duration_s: float, now_s: float) -> None:
         duration = self._durations.get(target.instance)
         mean_s = duration.mean_s if duration is not None else duration_s
         mean_s += DURATION_EMA_WEIGHT * (duration_s - mean_s)
--- a/tests/controllers/targets/test_target_watch.py
+++ b/tests/controllers/targets/test_target_watch.py
@@ -60,7 +60,7 @@
 
 def gossip_with(view: TargetView, polled_at_s: float) -> TargetGossip:
     gossip = TargetGossip()
-    gossip.note(view, polled_at_s, NOW_S)
+    gossip.record_report(view, polled_at_s, NOW_S)
     return gossip
 
 
@@ -85,7 +85,7 @@
     to a target that is leaving, or be attributed to weights that it no longer has.
     """
     gossip = gossip_with(VIEW._replace(leaving=True), 100.0)
-    gossip.note(VIEW._replace(leaving=True)._replace(**changes), polled_at_s, NOW_S)
+    gossip.record_report(VIEW._replace(leaving=True)._replace(**changes), polled_at_s, NOW_S)
     view = gossip.polled_targets[ADDRESS].view
     assert {name: getattr(view, name) for name in expected} == expected
 
@@ -93,7 +93,7 @@
 def test_load_keeps_its_age_across_nodes() -> None:
     """Guards against routing by a report's age that omits its time in transit."""
     sender, receiver = gossip_with(VIEW, 100.0), gossip_with(VIEW, 99.0)
-    sender.note(VIEW._replace(running=5, reported_at_s=100.7), 101.0, 101.0)
+    sender.record_report(VIEW._replace(running=5, reported_at_s=100.7), 101.0, 101.0)
     message = sender.add_updates(ping_message(), 101.5)
     receiver.apply_loads(message.loads, 201.5)
     polled_target = receiver.polled_targets[ADDRESS]
@@ -105,8 +105,8 @@
 def test_load_of_another_instance_is_ignored() -> None:
     """Guards against the add_updates of a former instance that arrives after a restart."""
     sender, receiver = gossip_with(VIEW, 100.0), gossip_with(VIEW, 100.0)
-    receiver.note(VIEW._replace(instance="boot-2", running=1), 100.5, 100.5)
-    sender.note(VIEW._replace(running=5), 101.0, 101.0)
+    receiver.record_report(VIEW._replace(instance="boot-2", running=1), 100.5, 100.5)
+    sender.record_report(VIEW._replace(running=5), 101.0, 101.0)
     receiver.apply_loads(sender.add_updates(ping_message(), 101.0).loads, 101.0)
     assert receiver.polled_targets[ADDRESS].view.running == 1
 
@@ -119,12 +119,14 @@
     row was ignored as no newer, and work went to the target for as long as loads arrived.
     """
     sender, receiver = gossip_with(VIEW, 100.0), gossip_with(VIEW, 100.0)
-    sender.note(VIEW._replace(**changes), 101.0, 101.0)
+    sender.record_report(VIEW._replace(**changes), 101.0, 101.0)
     message = sender.add_updates(ping_message(), 101.0)
     receiver.apply_loads(message.loads, 101.0)
     assert receiver.polled_targets[ADDRESS].polled_at_s == 100.0
     row = make_row(sender.polled_targets[ADDRESS], 101.0)
-    assert receiver.note(view_from_row(row, VIEW, 101.0), 101.0 - row.poll_age_ms / 1000.0, 101.0)
+    assert receiver.record_report(
+        view_from_row(row, VIEW, 101.0), 101.0 - row.poll_age_ms / 1000.0, 101.0
+    )
     view = receiver.polled_targets[ADDRESS].view
     assert {name: getattr(view, name) for name in changes} == changes
 
@@ -132,7 +134,7 @@
 def test_message_size_is_independent_of_target_count() -> None:
     gossip = TargetGossip()
     for index in range(600):
-        gossip.note(VIEW._replace(address=f"10.0.0.{index}:1"), 100.0, 100.0)
+        gossip.record_report(VIEW._replace(address=f"10.0.0.{index}:1"), 100.0, 100.0)
     message = gossip.add_updates(ping_message(), 100.0)
     assert len(message.loads) + len(message.targets) <= 25
 
@@ -196,7 +198,7 @@
         board, watch, client = make_watch()
         await watch.poll_once()
         client.reachable = False
-        watch.note_refused(ADDRESS)
+        watch.record_refusal(ADDRESS)
         assert not board.targets[ADDRESS].usable
         await watch.poll_once()
         assert not board.targets[ADDRESS].usable
@@ -267,7 +269,7 @@
         polled_target = watch.gossip.polled_targets[ADDRESS]
         sender = gossip_with(polled_target.view._replace(running=3), polled_target.polled_at_s)
         sent_at_s = polled_target.polled_at_s + 1.0
-        sender.note(polled_target.view._replace(running=4), sent_at_s, sent_at_s)
+        sender.record_report(polled_target.view._replace(running=4), sent_at_s, sent_at_s)
         watch.apply_updates(
             sender.add_updates(ping_message(), sent_at_s)._replace(targets=[]), sent_at_s
         )
--- a/tests/controllers/weights/test_streamed_versions.py
+++ b/tests/controllers/weights/test_streamed_versions.py
@@ -16,10 +16,10 @@
     board = Blackboard(Identity("n", "i", "z", "", ""))
     board.targets["a"] = engine("a", LATEST)
     tracker = StreamedVersionTracker(board)
-    tracker.note_token("a", LATEST - 1, 10.0)
+    tracker.record_token("a", LATEST - 1, 10.0)
     assert effective_version(board, board.targets["a"], 10.0) == LATEST
-    tracker.note_token("a", LATEST - 1, 12.0)
+    tracker.record_token("a", LATEST - 1, 12.0)
     assert effective_version(board, board.targets["a"], 12.0) == LATEST - 1
     assert effective_version(board, engine("a", LATEST, instance="a-2"), 12.0) == LATEST
-    tracker.note_token("a", LATEST, 13.0)
+    tracker.record_token("a", LATEST, 13.0)
     assert effective_version(board, board.targets["a"], 13.0) == LATEST
--- a/tests/crashes/test_ledger.py
+++ b/tests/crashes/test_ledger.py
@@ -22,7 +22,7 @@
 
 def record_ends(ledger: CrashLedger, digest: bytes, runs: Sequence[Run]) -> None:
     for target, begun_s, ended_s in runs:
-        ledger.note_end(digest, RunEnd(target, begun_s, ended_s, "n"), ended_s)
+        ledger.record_end(digest, RunEnd(target, begun_s, ended_s, "n"), ended_s)
 
 
 def settled_verdict(ledger: CrashLedger, digest: bytes, after_s: float = SETTLED_S) -> CrashVerdict:
@@ -145,7 +145,7 @@
 def test_runs_seen_by_two_nodes_within_datagram_latency_count_as_concurrent() -> None:
     ledger = CrashLedger()
     for number, (target, begun_s) in enumerate((("a", 0.0), ("b", 0.11), ("c", 0.12))):
-        ledger.note_end(CALL, RunEnd(target, begun_s, 0.1 + number / 50.0, f"n{number}"), 0.2)
+        ledger.record_end(CALL, RunEnd(target, begun_s, 0.1 + number / 50.0, f"n{number}"), 0.2)
     assert settled_verdict(ledger, CALL) is CrashVerdict.SUSPECT
 
 
@@ -159,7 +159,7 @@
         record_ends(ledger, digest, SEQUENTIAL)
     assert settled_verdict(ledger, CALL) is CrashVerdict.SUSPECT
     assert settled_verdict(ledger, OTHER_CALL) is CrashVerdict.SUSPECT
-    assert ledger.note_answer(OTHER_CALL, 2.0)
+    assert ledger.record_answer(OTHER_CALL, 2.0)
     assert settled_verdict(ledger, OTHER_CALL) is CrashVerdict.CLEAR
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
 
@@ -176,8 +176,8 @@
     """A request of many callers is answered constantly, until a release makes it crash targets."""
     ledger = CrashLedger()
     record_ends(ledger, CALL, SEQUENTIAL[:2])
-    assert ledger.note_answer(CALL, 0.2)
-    assert not ledger.note_answer(CALL, 0.1)
+    assert ledger.record_answer(CALL, 0.2)
+    assert not ledger.record_answer(CALL, 0.1)
     record_ends(ledger, CALL, [("late news", 0.05, 0.15)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.CLEAR
     record_ends(ledger, CALL, [("x", 1.0, 1.1), ("y", 1.2, 1.3), ("z", 1.4, 1.5)])
@@ -190,21 +190,21 @@
     ledger = CrashLedger()
     record_ends(ledger, CALL, SEQUENTIAL)
     assert settled_verdict(ledger, CALL) is CrashVerdict.REFUSED
-    assert ledger.note_answer(CALL, 3.0)
+    assert ledger.record_answer(CALL, 3.0)
     assert settled_verdict(ledger, CALL) is CrashVerdict.CLEAR
 
 
 def test_crash_reported_by_two_nodes_counts_once() -> None:
     ledger = CrashLedger()
     end = RunEnd("a", 0.0, 0.1, "n")
-    assert ledger.note_end(CALL, end, 0.1)
-    assert not ledger.note_end(CALL, end._replace(node="m", ended_s=0.12), 0.3)
+    assert ledger.record_end(CALL, end, 0.1)
+    assert not ledger.record_end(CALL, end._replace(node="m", ended_s=0.12), 0.3)
 
 
 def test_crashes_before_this_process_need_a_fresh_one() -> None:
     ledger = CrashLedger()
     for target, begun_s, ended_s in SEQUENTIAL:
-        ledger.note_end(CALL, RunEnd(target, begun_s, ended_s, "n"), 9.0, fresh=False)
+        ledger.record_end(CALL, RunEnd(target, begun_s, ended_s, "n"), 9.0, fresh=False)
     assert ledger.verdict(CALL, 9.0) is CrashVerdict.SUSPECT
     assert ledger.decide(9.0) == []
     record_ends(ledger, CALL, [("d", 9.0, 9.1)])
--- a/tests/crashes/test_news.py
+++ b/tests/crashes/test_news.py
@@ -18,7 +18,7 @@
         self.gossip = CrashGossip(self.ledger, lambda: node_count)
 
     def observe_crash(self, digest: bytes, target: str, begun_s: float, ended_s: float) -> None:
-        if self.ledger.note_end(digest, RunEnd(target, begun_s, ended_s, "n"), ended_s):
+        if self.ledger.record_end(digest, RunEnd(target, begun_s, ended_s, "n"), ended_s):
             self.gossip.announce(digest, target)
 
 
@@ -41,7 +41,7 @@
     one, other = Node(), Node()
     for node in (one, other):
         node.observe_crash(CALL, "t", 0.0, 0.1)
-    assert one.ledger.note_answer(CALL, 1.0)
+    assert one.ledger.record_answer(CALL, 1.0)
     one.gossip.announce(CALL)
     for _ in range(2):
         other.gossip.apply_updates(encode_and_decode(one.gossip.add_updates(EMPTY, 2.0)), 2.0)
--- a/tests/durable/test_crash_records.py
+++ b/tests/durable/test_crash_records.py
@@ -33,7 +33,7 @@
         for number, target in enumerate(targets):
             begun_s = now_s - 9.0 + number
             end = RunEnd(target, begun_s, begun_s + 0.5, "n")
-            if self.ledger.note_end(CALL, end, now_s):
+            if self.ledger.record_end(CALL, end, now_s):
                 self.records.record(CALL, own=True)
 
     def standing(self) -> CrashVerdict:
@@ -103,7 +103,7 @@
         await asyncio.sleep(0.15)
         assert appends(log) == 0
         for number, node in enumerate(fleet):
-            node.ledger.note_end(CALL, RunEnd("b", 1.0, 2.0, "n"), 2.0)
+            node.ledger.record_end(CALL, RunEnd("b", 1.0, 2.0, "n"), 2.0)
             node.records.record(CALL, own=number == 0)
         await until(lambda: appends(log) == 1)
         await asyncio.sleep(OTHER_WRITERS_DELAY_S + 0.3)
@@ -114,8 +114,8 @@
 
 def test_record_of_lost_nodes_is_written_by_another_node() -> None:
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
-        fleet[0].ledger.note_end(CALL, RunEnd("a", 0.0, 1.0, "lost"), 2.0)
-        fleet[0].ledger.note_end(CALL, RunEnd("b", 1.0, 2.0, "lost"), 2.0)
+        fleet[0].ledger.record_end(CALL, RunEnd("a", 0.0, 1.0, "lost"), 2.0)
+        fleet[0].ledger.record_end(CALL, RunEnd("b", 1.0, 2.0, "lost"), 2.0)
         fleet[0].records.record(CALL, own=False)
         await until(lambda: CALL in fleet[1].ledger.suspects)
 
@@ -147,7 +147,7 @@
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         fleet[0].end_runs("a", "b", "c")
         await until(lambda: len(fleet[1].ledger.suspects) == 1)
-        assert fleet[0].ledger.note_answer(CALL, asyncio.get_running_loop().time())
+        assert fleet[0].ledger.record_answer(CALL, asyncio.get_running_loop().time())
         fleet[0].records.record(CALL, own=True)
         await until(lambda: not fleet[1].ledger.suspects)
         assert (await log.newest(CRASH_TOPIC)).entries == []
--- a/tests/durable/test_engine_stats.py
+++ b/tests/durable/test_engine_stats.py
@@ -39,6 +39,6 @@
 
 def test_the_highest_seen_version_is_kept() -> None:
     stats = EngineStatsTable().of("e1")
-    stats.note_version("m", 3)
-    stats.note_version("m", 2)
+    stats.record_version("m", 3)
+    stats.record_version("m", 2)
     assert stats.versions == {"m": 3}
--- a/tests/durable/test_orderer.py
+++ b/tests/durable/test_orderer.py
@@ -56,7 +56,7 @@
         self.loading: set[tuple[str, str]] = set()
         self.noted: dict[tuple[str, str], int] = {}
 
-    def note_version(self, instance: str, model: str, version: int) -> None:
+    def record_version(self, instance: str, model: str, version: int) -> None:
         self.noted[instance, model] = version
 
     def demand(self, model: str, named_version: int) -> ModelDemand:
--- a/tests/durable/test_runner.py
+++ b/tests/durable/test_runner.py
@@ -37,7 +37,7 @@
         await stage.accept(step(items=2, min_version=2))
         await asyncio.sleep(0.2)
         assert not stage.engines.calls
-        stage.work.note_version("e1", "m", 2)
+        stage.work.record_version("e1", "m", 2)
         await stage.listed(2)
 
     stage = play(["e1", "e2"], body)
@@ -231,7 +231,7 @@
         draft.begin_run("r")
         draft.add(1, "old", 1)
         stage.engines.versions["e1"] = 2
-        stage.work.note_version("e1", "m", 2)
+        stage.work.record_version("e1", "m", 2)
         await stage.accept(step(items=1, min_version=2))
         await stage.listed(1)
 
@@ -245,7 +245,7 @@
         await stage.accept(step(items=2, min_version=5))
         await until(lambda: bool(stage.work.shortages))
         assert stage.work.demand("m", 6).waits
-        stage.work.note_version("e1", "m", 5)
+        stage.work.record_version("e1", "m", 5)
         stage.engines.versions["e1"] = 5
         await stage.listed(2)
         await until(lambda: not stage.work.shortages)
--- a/tests/observe/test_fleet_view.py
+++ b/tests/observe/test_fleet_view.py
@@ -52,11 +52,11 @@
     received: list[str] = []
     original = StandInEngine._generate
 
-    async def note_trace(self, request):
+    async def record_trace(self, request):
         received.append(request.headers.get("traceparent", ""))
         return await original(self, request)
 
-    monkeypatch.setattr(StandInEngine, "_generate", note_trace)
+    monkeypatch.setattr(StandInEngine, "_generate", record_trace)
 
     async def scenario(fleet: Fleet, session: aiohttp.ClientSession) -> None:
         owner, entry = fleet.nodes
--- a/tests/serving/test_crash_watch.py
+++ b/tests/serving/test_crash_watch.py
@@ -85,7 +85,7 @@
         now_s = asyncio.get_running_loop().time()
         for target in targets:
             end = RunEnd(target, now_s - 0.2, now_s - 0.1, "other")
-            self.ledger.note_end(call_digest(self.call(raw_path)), end, now_s)
+            self.ledger.record_end(call_digest(self.call(raw_path)), end, now_s)
 
 
 def run_with_fixture(body: Callable[[ForwarderFixture], Awaitable[None]]) -> None:
