--- a/samphirecleat/crashes/_news.py
+++ b/samphirecleat/crashes/_news.py
@@ -24,7 +24,7 @@
 
 
 class CrashGossip:
-    """Outgoing and incoming reports; a rider of the membership datagrams."""
+    """Outgoing and incoming reports; a piggyback source of the membership datagrams."""
 
     def __init__(self, ledger: CrashLedger, node_count: Callable[[], int]) -> None:
         """Send reports from ``ledger`` and add received ones to it."""
--- a/samphirecleat/durable/_journal.py
+++ b/samphirecleat/durable/_journal.py
@@ -99,7 +99,7 @@
     batch: list[DraftPart] = []
     size_bytes = 0
     for part in parts:
-        part_bytes = sum(len(piece) for piece in part.pieces)
+        part_bytes = sum(len(event) for event in part.pieces)
         if batch and size_bytes + part_bytes > TARGET_RECORD_BYTES:
             records.append(compress(msgspec.msgpack.encode(batch)))
             batch, size_bytes = [], 0
--- a/samphirecleat/node.py
+++ b/samphirecleat/node.py
@@ -198,7 +198,7 @@
             heartbeat_s=timings.heartbeat_s,
             suspect_after_s=timings.suspect_after_s,
             rng=self._rng,
-            piggyback_sources=[self.target_watch, self.discovery, self._crash_news],
+            piggyback_sources=[self.target_watch, self.discovery, self._crash_gossip],
         )
         self.weights = WeightCoordinator(
             board,
@@ -216,11 +216,11 @@
     def _build_crash_guard(self) -> None:
         board = self.board
         ledger = CrashLedger()
-        self._crash_news = CrashGossip(ledger, lambda: len(board.members))
+        self._crash_gossip = CrashGossip(ledger, lambda: len(board.members))
         self.crash_guard = CrashGuard(
             self.settings.node_id,
             ledger,
-            self._crash_news,
+            self._crash_gossip,
             is_listening,
             lambda start: registration_state(board, start),
             lambda start: sibling_targets(board, start),
--- a/samphirecleat/platform/_generation_stream.py
+++ b/samphirecleat/platform/_generation_stream.py
@@ -1,4 +1,4 @@
-"""One run of an item at an engine: an event stream read into pieces."""
+"""One run of an item at an engine: its event stream is decoded into events."""
 
 from collections.abc import AsyncGenerator, Sequence
 from typing import Final
@@ -38,7 +38,7 @@
     async def generate(
         self, call: GenerationCall, target: Target
     ) -> AsyncGenerator[GenerationEvent, None]:
-        """Yield the pieces of a run; see :class:`GenerationChannel`."""
+        """Yield the events of a run; see :class:`GenerationChannel`."""
         headers = [
             *item_headers(call),
             ("Host", call.host),
--- a/tests/durable/test_item_run.py
+++ b/tests/durable/test_item_run.py
@@ -22,10 +22,10 @@
 
 
 class OneStream:
-    """Streams the given pieces; records the calls and whether the stream was closed."""
+    """Streams the given events; records the calls and whether the stream was closed."""
 
-    def __init__(self, pieces: Sequence[GenerationEvent]) -> None:
-        self.pieces = pieces
+    def __init__(self, events: Sequence[GenerationEvent]) -> None:
+        self.events = events
         self.calls: list[GenerationCall] = []
         self.closed = False
 
@@ -38,9 +38,9 @@
 
     async def _stream(self) -> AsyncGenerator[GenerationEvent, None]:
         try:
-            for piece in self.pieces:
+            for event in self.events:
                 await asyncio.sleep(0.001)
-                yield piece
+                yield event
         finally:
             self.closed = True
 
@@ -60,14 +60,14 @@
     asyncio.run(stream_item(run, engine, stats or EngineStats()))
 
 
-def pieces(*versions: int, first: int = 1) -> Sequence[GenerationEvent]:
+def events(*versions: int, first: int = 1) -> Sequence[GenerationEvent]:
     return [
         GenerationEvent(first + at, f"{first + at}", version) for at, version in enumerate(versions)
     ]
 
 
 def test_a_complete_stream_fills_the_draft_and_the_engine_statistics() -> None:
-    run, stats, engine = make_run(), EngineStats(), OneStream(pieces(3, 3, 4))
+    run, stats, engine = make_run(), EngineStats(), OneStream(events(3, 3, 4))
     stream(run, engine, stats)
     assert run.draft.complete
     assert run.draft.text() == "1\n2\n3"
@@ -81,7 +81,7 @@
     run = make_run()
     run.draft.begin_run("r0")
     run.draft.add(1, "1", 1)
-    engine = OneStream(pieces(1, 1, first=2))
+    engine = OneStream(events(1, 1, first=2))
     stream(run, engine)
     assert engine.calls[0].last_event_id == 1
     assert run.draft.text() == "1\n2\n3"
@@ -91,12 +91,12 @@
     ("sent", "min_version", "single_version", "kept"),
     [
         # A sample must not contain events of weights older than its step allows.
-        (pieces(2, 1), 2, False, "1"),
+        (events(2, 1), 2, False, "1"),
         # A gap or a duplicate event must not enter the text.
-        ([*pieces(1), *pieces(1, first=3)], 1, False, "1"),
-        ([*pieces(1), *pieces(1)], 1, False, "1"),
+        ([*events(1), *events(1, first=3)], 1, False, "1"),
+        ([*events(1), *events(1)], 1, False, "1"),
         # The weights change within a text that requires a single version: discarded.
-        (pieces(1, 2), 1, True, ""),
+        (events(1, 2), 1, True, ""),
         ([], 1, False, ""),
     ],
 )
@@ -114,7 +114,7 @@
 
 
 def test_a_run_with_a_requested_move_ends_at_its_next_event() -> None:
-    run, engine = make_run(), OneStream(pieces(1, 1, 1, 1))
+    run, engine = make_run(), OneStream(events(1, 1, 1, 1))
     run.move_requested = True
     with pytest.raises(GenerationError):
         stream(run, engine)
--- a/tests/platform/test_target_channels.py
+++ b/tests/platform/test_target_channels.py
@@ -125,14 +125,14 @@
 async def generate(
     sessions: TargetSessions, target: Target, last: int = 0
 ) -> tuple[list[GenerationEvent], GenerationError | None]:
-    pieces: list[GenerationEvent] = []
+    events: list[GenerationEvent] = []
     call = GenerationCall("i1", "h", "/run/1", [("X-Model", "m")], b"p", last, 5.0, 5)
     try:
-        async for piece in GenerationStream(sessions).generate(call, target):
-            pieces.append(piece)
+        async for event in GenerationStream(sessions).generate(call, target):
+            events.append(event)
     except GenerationError as error:
-        return pieces, error
-    return pieces, None
+        return events, error
+    return events, None
 
 
 def test_a_broken_stream_goes_on_behind_its_last_whole_event() -> None:
@@ -184,8 +184,8 @@
     async def body() -> None:
         async with target_of() as (stand_in, target, sessions):
             stand_in.answers = [answer]
-            pieces, error = await generate(sessions, target)
-            assert (pieces, error.reason if error else None) == ([], reason)
+            events, error = await generate(sessions, target)
+            assert (events, error.reason if error else None) == ([], reason)
 
     asyncio.run(body())
 
