--- a/samphirecleat/durable/_drafts.py
+++ b/samphirecleat/durable/_drafts.py
@@ -22,7 +22,7 @@
 
     item_id: str
     first_event_id: int
-    pieces: Sequence[str]
+    event_data: Sequence[str]
     versions: Sequence[int]
     complete: bool
     run_id: str
@@ -36,7 +36,7 @@
     run_id: str
     resumed_after: int
     first_event_id: int
-    pieces: list[str] = field(default_factory=list)
+    event_data: list[str] = field(default_factory=list)
     versions: list[int] = field(default_factory=list)
     complete: bool = False
 
@@ -47,9 +47,9 @@
 
     def extend(self, part: DraftPart) -> None:
         """Append a part; ignored unless it directly follows the parts before it."""
-        if part.first_event_id != self.first_event_id + len(self.pieces):
+        if part.first_event_id != self.first_event_id + len(self.event_data):
             return
-        self.pieces.extend(part.pieces)
+        self.event_data.extend(part.event_data)
         self.versions.extend(part.versions)
         self.complete = part.complete
 
@@ -63,10 +63,10 @@
 
 @dataclass
 class Draft:
-    """The text of one item so far; event n is ``pieces[n - 1]``."""
+    """The text of one item so far; the data of event n is ``event_data[n - 1]``."""
 
     item_id: str
-    pieces: list[str] = field(default_factory=list)
+    event_data: list[str] = field(default_factory=list)
     versions: list[int] = field(default_factory=list)
     complete: bool = False
     _run_starts: list[_RunStart] = field(default_factory=list)
@@ -76,26 +76,26 @@
     @property
     def last_event_id(self) -> int:
         """The id of the last event, 0 for none."""
-        return len(self.pieces)
+        return len(self.event_data)
 
     def begin_run(self, run_id: str) -> None:
         """Record that a new run resumes after the last event."""
-        if self._run_starts and self._run_starts[-1].after == len(self.pieces):
+        if self._run_starts and self._run_starts[-1].after == len(self.event_data):
             # The previous run produced no events.
             self._run_starts.pop()
-        self._run_starts.append(_RunStart(len(self.pieces), run_id))
+        self._run_starts.append(_RunStart(len(self.event_data), run_id))
 
     def add(self, event_id: int, data: str, version: int) -> bool:
         """Append an event; return False without a change if it is not the next one."""
-        if event_id != len(self.pieces) + 1:
+        if event_id != len(self.event_data) + 1:
             return False
-        self.pieces.append(data)
+        self.event_data.append(data)
         self.versions.append(version)
         return True
 
     def text(self) -> str:
         """Return the data of all events, in order."""
-        return "\n".join(self.pieces)
+        return "\n".join(self.event_data)
 
     def version_set(self) -> Sequence[int]:
         """Return the distinct versions of all events in ascending order."""
@@ -109,7 +109,7 @@
 
     def clear(self) -> None:
         """Discard the text and its runs."""
-        self.pieces.clear()
+        self.event_data.clear()
         self.versions.clear()
         self.complete = False
         self._run_starts.clear()
@@ -119,17 +119,17 @@
     def take_unsaved(self) -> Sequence[DraftPart]:
         """Return the events since the last call, one part per run, and mark them as saved."""
         if not self._run_starts or (
-            self._saved == len(self.pieces) and self._saved_complete == self.complete
+            self._saved == len(self.event_data) and self._saved_complete == self.complete
         ):
             return []
-        ends = [*(start.after for start in self._run_starts[1:]), len(self.pieces)]
+        ends = [*(start.after for start in self._run_starts[1:]), len(self.event_data)]
         parts = []
         for start, end in zip(self._run_starts, ends, strict=True):
             is_last = start is self._run_starts[-1]
             first = max(start.after, self._saved)
             if first < end or (is_last and self.complete):
                 parts.append(self._part(start, first, end, complete=is_last and self.complete))
-        self._saved = len(self.pieces)
+        self._saved = len(self.event_data)
         self._saved_complete = self.complete
         return parts
 
@@ -143,27 +143,27 @@
         """
         beginning = run.first_event_id - 1
         same_run = bool(self._run_starts) and self._run_starts[-1].run_id == run.run_id
-        if beginning > len(self.pieces) or not (same_run or beginning == run.resumed_after):
+        if beginning > len(self.event_data) or not (same_run or beginning == run.resumed_after):
             return False
-        length = beginning + len(run.pieces)
-        if (length, run.complete) <= (len(self.pieces), self.complete):
+        length = beginning + len(run.event_data)
+        if (length, run.complete) <= (len(self.event_data), self.complete):
             return False
-        del self.pieces[beginning:]
+        del self.event_data[beginning:]
         del self.versions[beginning:]
         if not same_run:
             self._run_starts = [start for start in self._run_starts if start.after < beginning]
             self._run_starts.append(_RunStart(beginning, run.run_id))
-        self.pieces.extend(run.pieces)
+        self.event_data.extend(run.event_data)
         self.versions.extend(run.versions)
         self.complete = run.complete
-        self._saved = len(self.pieces)
+        self._saved = len(self.event_data)
         self._saved_complete = self.complete
         return True
 
     def _part(self, start: _RunStart, first: int, end: int, *, complete: bool) -> DraftPart:
-        pieces, versions = self.pieces[first:end], self.versions[first:end]
+        event_data, versions = self.event_data[first:end], self.versions[first:end]
         return DraftPart(
-            self.item_id, first + 1, pieces, versions, complete, start.run_id, start.after
+            self.item_id, first + 1, event_data, versions, complete, start.run_id, start.after
         )
 
 
--- a/samphirecleat/durable/_item_run.py
+++ b/samphirecleat/durable/_item_run.py
@@ -76,7 +76,7 @@
             wait_s = EVENT_TIMEOUT_S
             if run.move_requested:
                 raise GenerationError("moved to a faster engine", GenerationFailure.REFUSED)
-        if not run.draft.pieces:
+        if not run.draft.event_data:
             raise GenerationError("stream ended without an event", GenerationFailure.BROKEN)
         run.draft.complete = True
     finally:
--- a/samphirecleat/durable/_journal.py
+++ b/samphirecleat/durable/_journal.py
@@ -99,7 +99,7 @@
     batch: list[DraftPart] = []
     size_bytes = 0
     for part in parts:
-        part_bytes = sum(len(event) for event in part.pieces)
+        part_bytes = sum(len(data) for data in part.event_data)
         if batch and size_bytes + part_bytes > TARGET_RECORD_BYTES:
             records.append(compress(msgspec.msgpack.encode(batch)))
             batch, size_bytes = [], 0
--- a/tests/durable/test_drafts.py
+++ b/tests/durable/test_drafts.py
@@ -11,8 +11,8 @@
     return draft
 
 
-def part(first: int, pieces: list[str], run: str = "r1", after: int = 0) -> DraftPart:
-    return DraftPart("i", first, pieces, [1] * len(pieces), False, run, after)
+def part(first: int, event_data: list[str], run: str = "r1", after: int = 0) -> DraftPart:
+    return DraftPart("i", first, event_data, [1] * len(event_data), False, run, after)
 
 
 def test_an_event_out_of_order_is_rejected() -> None:
