--- a/samphirecleat/controllers/membership/_gossip.py
+++ b/samphirecleat/controllers/membership/_gossip.py
@@ -315,13 +315,13 @@
         picked = self._rng.sample(
             others, min(len(others), DATAGRAMS_PER_SYNC * ROWS_PER_SYNC_DATAGRAM)
         )
-        news = self._compose(MessageKind.UPDATE, 0, now_s)
+        update = self._compose(MessageKind.UPDATE, 0, now_s)
         return [
             Outgoing(
                 sender.peer_address,
-                news._replace(
+                update._replace(
                     rows=[
-                        news.rows[0],
+                        update.rows[0],
                         *(_to_row(k, now_s) for k in picked[at : at + ROWS_PER_SYNC_DATAGRAM]),
                     ]
                 ),
--- a/tests/platform/standin_store.py
+++ b/tests/platform/standin_store.py
@@ -27,7 +27,7 @@
         self.page_rows = 500
         self.calls = 0
         self._late: list[tuple[str, bytes]] = []
-        self._news = asyncio.Event()
+        self._appended = asyncio.Event()
 
     def add_routes(self, router: web.UrlDispatcher) -> None:
         router.add_post("/v1/log-append", self._append)
@@ -54,8 +54,8 @@
     def _do_append(self, topic: str, records: list[bytes]) -> int:
         offset = len(self.topics[topic])
         self.topics[topic].extend(records)
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+        appended, self._appended = self._appended, asyncio.Event()
+        appended.set()
         return offset
 
     async def _append(self, request: web.Request) -> web.StreamResponse:
@@ -91,10 +91,10 @@
         if start < self.first[topic]:
             return web.json_response({"first": self.first[topic]}, status=410)
         if start >= len(self.topics[topic]):
-            news = self._news
+            appended = self._appended
             try:
                 async with asyncio.timeout(int(request.query.get("waitMs", "0")) / 1000.0):
-                    await news.wait()
+                    await appended.wait()
             except TimeoutError:
                 pass
         records = self.topics[topic][start:]
