--- a/samphirecleat/controllers/steps/_step_runner.py
+++ b/samphirecleat/controllers/steps/_step_runner.py
@@ -54,8 +54,8 @@
         self._producer = SampleProducer(board, dispatcher, rng)
         self._streamed = StreamedVersionTracker(board)
         self._tasks: dict[Run, asyncio.Task[None]] = {}
-        self._shares: defaultdict[str, FairShareScheduler] = defaultdict(FairShareScheduler)
-        self._paces: defaultdict[str, PaceEstimator] = defaultdict(PaceEstimator)
+        self._schedulers: defaultdict[str, FairShareScheduler] = defaultdict(FairShareScheduler)
+        self._estimators: defaultdict[str, PaceEstimator] = defaultdict(PaceEstimator)
         self._resume_at_s: defaultdict[str, float] = defaultdict(float)
 
     @property
@@ -126,7 +126,7 @@
         Copies start before first runs, since a straggler is on the step's critical path and
         the copy budget keeps copies few.
         """
-        pace = self._paces[service].pace
+        pace = self._estimators[service].pace
         for step in steps:
             for slow_run in step.select_runs_to_copy(self._copy_policy, pace, free_slots, now_s):
                 excluded = self._excluded_targets(step, availability, now_s) | {slow_run.target}
@@ -147,11 +147,11 @@
     ) -> None:
         """Start first runs, choosing between trainers by their shares."""
         excluded = {id(step): self._excluded_targets(step, availability, now_s) for step in steps}
-        book = self._shares[service]
+        scheduler = self._schedulers[service]
         # A step without a sufficiently new target waits without delaying other steps.
         startable = _by_trainer([step for step in steps if usable - excluded[id(step)]])
         while free_slots > 0 and startable:
-            trainer = book.next_trainer(startable)
+            trainer = scheduler.next_trainer(startable)
             step = next((s for s in startable[trainer] if s.next_position(now_s) is not None), None)
             if step is None:
                 del startable[trainer]
@@ -160,7 +160,7 @@
             assert position is not None
             self._start(step, step.record_start(position, now_s), excluded[id(step)])
             free_slots -= 1
-        book.retain({step.spec.trainer for step in steps})
+        scheduler.retain({step.spec.trainer for step in steps})
 
     def _excluded_targets(
         self, step: Step, availability: SlotAvailability, now_s: float
@@ -172,7 +172,7 @@
     def _start(self, step: Step, run: Run, excluded: frozenset[str]) -> None:
         spec = step.spec
         shares = {name: t.share for name, t in self._board.config.services.trainers.items()}
-        self._shares[spec.service].charge(spec.trainer, run.expected_tokens, shares)
+        self._schedulers[spec.service].charge(spec.trainer, run.expected_tokens, shares)
         task = asyncio.get_running_loop().create_task(self._produce(step, run, excluded))
         self._tasks[run] = task
         task.add_done_callback(lambda _task: self._tasks.pop(run, None))
@@ -186,7 +186,7 @@
             step.record_failure(run, loop.time(), self._rng.random())
             self._back_off(step.spec.service, error, loop.time())
         else:
-            self._paces[step.spec.service].record_run(run)
+            self._estimators[step.spec.service].record_run(run)
             self._observer.record_s("sample", loop.time() - run.started_at_s)
             for other in step.record_sample(run, sample):
                 self._cancel(step, other)
@@ -203,8 +203,8 @@
             self._resume_at_s[service] = max(self._resume_at_s[service], now_s + wait_s)
 
     def _cancel_stale_runs(self, step: Step, now_s: float) -> None:
-        coming = self._registry.version_forecast.coming_version(step, now_s)
-        for run in step.set_expected_version(coming):
+        predicted_version = self._registry.version_forecast.predicted_version(step, now_s)
+        for run in step.set_expected_version(predicted_version):
             self._observer.counters["runs_cancelled_stale"] += 1
             self._cancel(step, run)
 
--- a/samphirecleat/controllers/weights/_version_forecast.py
+++ b/samphirecleat/controllers/weights/_version_forecast.py
@@ -14,20 +14,20 @@
     def __init__(self, board: Blackboard) -> None:
         """Read targets and weights from the blackboard."""
         self._board = board
-        self._paces: dict[str, TrainerProgress] = {}
+        self._progress: dict[str, TrainerProgress] = {}
         self._pulls: Counter[str] = Counter()
 
     def record_version(self, trainer: str, version: int) -> None:
         """Record a version that a trainer named."""
-        pace = self._paces.get(trainer, TrainerProgress())
-        self._paces[trainer] = pace._replace(version=max(pace.version, version))
+        progress = self._progress.get(trainer, TrainerProgress())
+        self._progress[trainer] = progress._replace(version=max(progress.version, version))
 
     def record_pull(self, step: Step, version: int) -> None:
         """Record the version that a pull of a step names; call it before the pull is answered."""
         trainer = step.spec.trainer
-        pace = self._paces.get(trainer, TrainerProgress())
-        if step.pulled and not step.done and NO_VERSION < pace.version < version:
-            self._paces[trainer] = pace._replace(advances_within_steps=True)
+        progress = self._progress.get(trainer, TrainerProgress())
+        if step.pulled and not step.done and NO_VERSION < progress.version < version:
+            self._progress[trainer] = progress._replace(advances_within_steps=True)
         self.record_version(trainer, version)
 
     def begin_pull(self, trainer: str) -> None:
@@ -38,12 +38,12 @@
         """Record that a pull was answered."""
         self._pulls[trainer] -= 1
 
-    def coming_version(self, step: Step, now_s: float) -> int:
+    def predicted_version(self, step: Step, now_s: float) -> int:
         """Return the version that the step's trainer is expected to name in its next pull."""
         trainer = step.spec.trainer
-        pace = self._paces.get(trainer, TrainerProgress())
-        pace = pace._replace(pulling=self._pulls[trainer] > 0)
-        return predict_version(pace, self._newest_version(step.spec.service, now_s))
+        progress = self._progress.get(trainer, TrainerProgress())
+        progress = progress._replace(pulling=self._pulls[trainer] > 0)
+        return predict_version(progress, self._newest_version(step.spec.service, now_s))
 
     def stale_targets(self, step: Step, now_s: float) -> frozenset[str]:
         """Return the addresses of the targets whose weights are too old for runs of a step."""
@@ -52,13 +52,13 @@
             for target in self._board.targets_of(step.spec.service)
         ]
         return find_stale_targets(
-            targets, self.coming_version(step, now_s), step.spec.staleness_bound
+            targets, self.predicted_version(step, now_s), step.spec.staleness_bound
         )
 
     def retain_trainers(self, trainers: Collection[str]) -> None:
         """Drop the state of all other trainers, so that memory stays bounded."""
-        for trainer in [name for name in self._paces if name not in trainers]:
-            del self._paces[trainer]
+        for trainer in [name for name in self._progress if name not in trainers]:
+            del self._progress[trainer]
             del self._pulls[trainer]
 
     def _newest_version(self, service: str, now_s: float) -> int:
--- a/samphirecleat/steps/_freshness.py
+++ b/samphirecleat/steps/_freshness.py
@@ -22,7 +22,7 @@
     advances_within_steps: bool = False
 
 
-def predict_version(pace: TrainerProgress, newest_version: int) -> int:
+def predict_version(progress: TrainerProgress, newest_version: int) -> int:
     """Return the weight version that the trainer's next pull is expected to name.
 
     ``newest_version`` is the newest known version of the service's weights. A
@@ -31,11 +31,11 @@
     belong to another trainer, and for a trainer far behind them every run would be
     discarded.
     """
-    if pace.version == NO_VERSION:
+    if progress.version == NO_VERSION:
         return newest_version
-    if pace.pulling and not pace.advances_within_steps:
-        return pace.version
-    return max(pace.version, min(newest_version, pace.version + 1))
+    if progress.pulling and not progress.advances_within_steps:
+        return progress.version
+    return max(progress.version, min(newest_version, progress.version + 1))
 
 
 def find_stale_targets(
