--- a/samphirecleat/durable/_crash_backoff.py
+++ b/samphirecleat/durable/_crash_backoff.py
@@ -31,7 +31,7 @@
         self, run: ItemRun, begun_s: float, error: GenerationError, now_s: float
     ) -> None:
         """Record a run that was cut off, possibly because its engine crashed."""
-        if self._guard is None or not error.cut:
+        if self._guard is None or not error.connection_closed:
             return
         digest = _item_digest(run)
         self._cut_runs[run.name] = (digest, now_s)
--- a/samphirecleat/durable/_ports.py
+++ b/samphirecleat/durable/_ports.py
@@ -144,10 +144,12 @@
 class GenerationError(Exception):
     """A run that ended before its text was complete."""
 
-    def __init__(self, detail: str, reason: "GenerationFailure", *, cut: bool = False) -> None:
-        """Create the error; ``cut`` says whether the engine closed the connection."""
+    def __init__(
+        self, detail: str, reason: "GenerationFailure", *, connection_closed: bool = False
+    ) -> None:
+        """Create the error; ``connection_closed`` says whether the engine closed the connection."""
         super().__init__(detail)
-        self.cut = cut
+        self.connection_closed = connection_closed
         self.detail = detail
         self.reason = reason
 
--- a/samphirecleat/platform/_call_exchange.py
+++ b/samphirecleat/platform/_call_exchange.py
@@ -73,7 +73,7 @@
     return TargetFault(
         f"{target.instance}: {error!r}",
         Ran.NO if never_sent else Ran.UNKNOWN,
-        cut=not never_sent and is_connection_closed(error),
+        connection_closed=not never_sent and is_connection_closed(error),
     )
 
 
--- a/samphirecleat/platform/_call_stream.py
+++ b/samphirecleat/platform/_call_stream.py
@@ -59,6 +59,8 @@
                     version = event.version
                     yield StreamEvent(event.event_id, version, block)
         except EventFormatError as error:
-            raise TargetFault(f"{target.instance}: {error}", Ran.UNKNOWN, cut=True) from error
+            raise TargetFault(
+                f"{target.instance}: {error}", Ran.UNKNOWN, connection_closed=True
+            ) from error
         except RESPONSE_ERRORS as error:
             raise lost_answer(target, error) from error
--- a/samphirecleat/platform/_generation_stream.py
+++ b/samphirecleat/platform/_generation_stream.py
@@ -67,12 +67,16 @@
                     version = event.version
                     yield GenerationEvent(*event)
         except EventFormatError as error:
-            raise GenerationError(str(error), GenerationFailure.BROKEN, cut=True) from error
+            raise GenerationError(
+                str(error), GenerationFailure.BROKEN, connection_closed=True
+            ) from error
         except aiohttp.ClientConnectorError as error:
             raise GenerationError(repr(error), GenerationFailure.BROKEN) from error
         except RESPONSE_ERRORS as error:
-            cut = is_connection_closed(error)
-            raise GenerationError(repr(error), GenerationFailure.BROKEN, cut=cut) from error
+            closed = is_connection_closed(error)
+            raise GenerationError(
+                repr(error), GenerationFailure.BROKEN, connection_closed=closed
+            ) from error
 
 
 def item_headers(call: GenerationCall) -> Sequence[tuple[str, str]]:
--- a/samphirecleat/serving/_forwarder.py
+++ b/samphirecleat/serving/_forwarder.py
@@ -117,7 +117,7 @@
         self, call: Call, target: Target, begun_s: float, fault: TargetFault
     ) -> None:
         """Report a failed run to the guard if the target closed the connection."""
-        if self._guard is not None and fault.cut:
+        if self._guard is not None and fault.connection_closed:
             await self._guard.record_cut(
                 call.request_id, call_digest(call), target_start(target), begun_s, fault.detail
             )
--- a/samphirecleat/serving/_types.py
+++ b/samphirecleat/serving/_types.py
@@ -173,8 +173,8 @@
 
     ``ran`` is NO only if no byte was sent to the target, or the target said that the call didn't
     run. ``refused`` marks a target that has no capacity, ``wrong_instance`` a different target at
-    the expected address. ``cut`` says that the target closed the connection before its answer was
-    complete.
+    the expected address. ``connection_closed`` says that the target closed the connection before
+    its answer was complete.
     """
 
     def __init__(
@@ -184,7 +184,7 @@
         *,
         refused: bool = False,
         wrong_instance: bool = False,
-        cut: bool = False,
+        connection_closed: bool = False,
     ) -> None:
         """Describe the failure in ``detail``."""
         super().__init__(detail)
@@ -192,7 +192,7 @@
         self.ran = ran
         self.refused = refused
         self.wrong_instance = wrong_instance
-        self.cut = cut
+        self.connection_closed = connection_closed
 
 
 class CallChannel(Protocol):
--- a/tests/durable/runner_stage.py
+++ b/tests/durable/runner_stage.py
@@ -75,7 +75,7 @@
         try:
             if call.item_id in self.ends_on:
                 await asyncio.sleep(EVENT_S)
-                raise GenerationError("reset", GenerationFailure.BROKEN, cut=True)
+                raise GenerationError("reset", GenerationFailure.BROKEN, connection_closed=True)
             if end is GenerationFailure.SILENT:
                 await asyncio.sleep(1e6)
             if end in (
--- a/tests/platform/test_target_channels.py
+++ b/tests/platform/test_target_channels.py
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize(
-    ("error", "cut"),
+    ("error", "connection_closed"),
     [
         (aiohttp.ServerDisconnectedError(), True),
         (aiohttp.ClientPayloadError("reset within the answer"), True),
@@ -222,11 +222,11 @@
     ids=lambda value: type(value).__name__,
 )
 def test_a_fault_tells_a_connection_that_its_target_closed_from_a_silent_one(
-    error: Exception, cut: bool
+    error: Exception, connection_closed: bool
 ) -> None:
     """Only a target that closed the connection may have ended under the call."""
     fault = lost_answer(Target("t", "svc", "127.0.0.1:1", "z", 1, False), error)
-    assert (fault.cut, fault.ran) == (cut, Ran.UNKNOWN)
+    assert (fault.connection_closed, fault.ran) == (connection_closed, Ran.UNKNOWN)
 
 
 def test_a_call_on_a_kept_connection_that_its_target_closes_is_sent_once() -> None:
@@ -244,7 +244,7 @@
             stand_in.answers = ["reset"]
             with pytest.raises(TargetFault) as raised:
                 await exchange.exchange(call, target, 2.0)
-            assert (raised.value.ran, raised.value.cut) == (Ran.UNKNOWN, True)
+            assert (raised.value.ran, raised.value.connection_closed) == (Ran.UNKNOWN, True)
             assert len(stand_in.seen) == 2
 
     asyncio.run(body())
--- a/tests/serving/test_crash_watch.py
+++ b/tests/serving/test_crash_watch.py
@@ -45,7 +45,7 @@
         self.asked.append((call.raw_path, target.instance))
         await asyncio.sleep(self.answer_delay_s)
         if call.raw_path == "/ends":
-            raise TargetFault("reset", Ran.UNKNOWN, cut=True)
+            raise TargetFault("reset", Ran.UNKNOWN, connection_closed=True)
         return OK
 
     def asked_for(self, raw_path: str) -> list[str]:
