--- a/samphirecleat/bench/_crashes.py
+++ b/samphirecleat/bench/_crashes.py
@@ -15,7 +15,7 @@
 
 from ..blackboard import Member
 from ..crashes import MIN_ENDS_TO_REFUSE, CrashGossip, CrashLedger, CrashVerdict, RunEnd
-from ..crashes._call_mark import DIGEST_BYTES
+from ..crashes._request_digest import DIGEST_BYTES
 from ..durable import reading_pause_s
 from ..durable._crash_records import MIN_RECORDED_ENDS
 from ..peers import HeartbeatCodec, MemberRow, Message, MessageKind
--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -18,8 +18,8 @@
 from ..policies import Policies
 from ..targets import is_target_report_expired, is_target_section_stale
 from ._crash_watch import call_digest, target_start
+from ._latency_tracker import LatencyTracker
 from ._limiter import Limiter
-from ._pace import LatencyTracker
 from ._retries import GiveUp, RetryBudget, TryElsewhere, decide_retry
 from ._routing import RoutingView, choose_target
 
--- a/samphirecleat/controllers/membership/_discovery.py
+++ b/samphirecleat/controllers/membership/_discovery.py
@@ -11,7 +11,7 @@
 from ...observe import Observer
 from ...peers import HostListChange, Message, PeerClient, PeerUnavailableError
 from ...platform import HostListUnavailableError, HttpHostList, ListedHost
-from ._list_doubt import accept_rows
+from ._accepted_rows import accept_rows
 
 ENTRY_SERVICE: Final = "entry"
 READERS_PER_PERIOD: Final = 16
--- a/samphirecleat/controllers/targets/_target_watch.py
+++ b/samphirecleat/controllers/targets/_target_watch.py
@@ -8,7 +8,7 @@
 from ...blackboard import Blackboard, TargetView
 from ...peers import Message, RendezvousOwners, TargetRow
 from ...targets import TargetClient
-from ._target_news import TargetGossip, view_from_row
+from ._target_gossip import TargetGossip, view_from_row
 
 SILENT_AFTER_S: Final = 1.5
 SILENT_PER_TARGET_S: Final = 1.0 / 30.0
--- a/samphirecleat/crashes/__init__.py
+++ b/samphirecleat/crashes/__init__.py
@@ -1,7 +1,7 @@
 """Detects calls that crash their targets, across all nodes, and bounds their retries."""
 
 from ._barred import barred_error, is_barred
-from ._call_mark import request_digest
+from ._crash_gossip import CrashGossip
 from ._guard import (
     CrashGuard,
     EvidenceRecorder,
@@ -10,7 +10,7 @@
     TargetStart,
 )
 from ._ledger import CrashLedger
-from ._news import CrashGossip
+from ._request_digest import request_digest
 from ._suspect import MAX_ENDS, MIN_ENDS_TO_REFUSE, SETTLE_S, CrashVerdict, RunEnd, Suspect
 
 __all__ = [
--- a/samphirecleat/crashes/_guard.py
+++ b/samphirecleat/crashes/_guard.py
@@ -7,8 +7,8 @@
 
 from ..observe import Observer
 from ._barred import is_barred
+from ._crash_gossip import NO_CALL, CrashGossip
 from ._ledger import CrashLedger
-from ._news import NO_CALL, CrashGossip
 from ._suspect import CrashVerdict, RunEnd
 
 # A target that still listens right after it cut a call may have restarted at once. Its registration
--- a/samphirecleat/platform/_platform_node.py
+++ b/samphirecleat/platform/_platform_node.py
@@ -42,6 +42,7 @@
     UsageCounter,
     write_gap_s,
 )
+from ._auxiliary_endpoints import AuxiliaryEndpoints
 from ._boot_settings import BootSettings
 from ._call_exchange import CallExchange
 from ._call_stream import CallStream
@@ -55,7 +56,6 @@
 from ._metadata_store import MetadataStore
 from ._node_duties import NodeDuties, PlatformView
 from ._peer_texts import PeerTextClient
-from ._side_doors import AuxiliaryEndpoints
 from ._target_sessions import TargetSessions
 from ._watches import OperatorWatch, TargetWatch
 from ._wire_names import TOPIC_OPERATOR, TOPIC_TARGETS
--- a/samphirecleat/requests/__init__.py
+++ b/samphirecleat/requests/__init__.py
@@ -4,7 +4,6 @@
 from ._answer_store import AnswerStore
 from ._call import AnswerLine, Call, Span, WorkClass, merge_spans
 from ._key import RequestKey, parse_key
-from ._key_book import Binding, ForwardTo, JoinHere, RequestKeyTable, StartHere
 from ._progress import (
     ProbeResult,
     RequestStatus,
@@ -18,6 +17,7 @@
     classify_silence,
 )
 from ._refused_keys import RefusedKeys
+from ._request_key_table import Binding, ForwardTo, JoinHere, RequestKeyTable, StartHere
 from ._retry_budget import RetryBudget
 
 __all__ = [
--- a/samphirecleat/serving/__init__.py
+++ b/samphirecleat/serving/__init__.py
@@ -1,9 +1,9 @@
 """Request routing and forwarding: shared types, per-node tables and the forwarder."""
 
+from ._advertised_members import advertised_members
+from ._authenticator import ApiKeyAuthenticator
 from ._crash_watch import call_digest, registration_state, sibling_targets, target_start
-from ._entry_choice import advertised_members
 from ._forwarder import Forwarder, UsageMeter, discard_usage
-from ._gatekeeper import ApiKeyAuthenticator
 from ._registry import TargetRegistry
 from ._route_table import RouteTable
 from ._stream_relay import RelayedStream, StreamBrokenError, StreamRelay
--- a/samphirecleat/steps/__init__.py
+++ b/samphirecleat/steps/__init__.py
@@ -14,11 +14,11 @@
     remaining_s,
 )
 from ._freshness import TrainerProgress, find_stale_targets, predict_version
-from ._placement import SlotAvailability, find_free_slots
 from ._positions import PositionQueue
 from ._record import DeliveryRecord
 from ._run import Run
 from ._shares import FairShareScheduler
+from ._slot_availability import SlotAvailability, find_free_slots
 from ._stats import TrainerStats
 from ._step import Step
 from ._types import (
--- a/tests/controllers/admission/test_routing.py
+++ b/tests/controllers/admission/test_routing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from samphirecleat.blackboard import TargetView
-from samphirecleat.controllers.admission._pace import LatencyTracker
+from samphirecleat.controllers.admission._latency_tracker import LatencyTracker
 from samphirecleat.controllers.admission._routing import RoutingView, choose_target
 from samphirecleat.controllers.admission._service_time import ServiceTime
 from samphirecleat.controllers.policies import (
--- a/tests/controllers/membership/test_list_doubt.py
+++ b/tests/controllers/membership/test_accepted_rows.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from samphirecleat.controllers.membership._list_doubt import accept_rows
+from samphirecleat.controllers.membership._accepted_rows import accept_rows
 from samphirecleat.platform import ListedHost
 
 
--- a/tests/controllers/targets/test_target_watch.py
+++ b/tests/controllers/targets/test_target_watch.py
@@ -8,7 +8,7 @@
 from samphirecleat.blackboard import Blackboard, Identity, MemberView, TargetView
 from samphirecleat.config import read_service_text
 from samphirecleat.controllers.membership._discovery import HostListTable, reading_period_s
-from samphirecleat.controllers.targets._target_news import TargetGossip, make_row, view_from_row
+from samphirecleat.controllers.targets._target_gossip import TargetGossip, make_row, view_from_row
 from samphirecleat.controllers.targets._target_watch import (
     MAX_SILENT_POLLS,
     PollView,
--- a/tests/crashes/test_news.py
+++ b/tests/crashes/test_crash_gossip.py
@@ -2,7 +2,7 @@
 
 from samphirecleat.blackboard import Member
 from samphirecleat.crashes import CrashGossip, CrashLedger, CrashVerdict, RunEnd
-from samphirecleat.crashes._news import MAX_PENDING, ROWS_PER_MESSAGE
+from samphirecleat.crashes._crash_gossip import MAX_PENDING, ROWS_PER_MESSAGE
 from samphirecleat.peers import HeartbeatCodec, MemberRow, Message, MessageKind
 
 CALL = b"\x07" * 12
--- a/tests/crashes/test_guard.py
+++ b/tests/crashes/test_guard.py
@@ -16,7 +16,7 @@
 from samphirecleat.crashes import _guard as guard_module
 
 from .guards import make_guard
-from .test_news import EMPTY
+from .test_crash_gossip import EMPTY
 
 CALL = b"\x01" * 12
 
