--- a/tests/requests/test_request_key_table.py
+++ b/tests/requests/test_request_key_table.py
@@ -86,7 +86,7 @@
     assert (caught.value.kind, caught.value.ran) == (ErrorKind.KEY_CONFLICT, Ran.UNKNOWN)
 
 
-def test_a_refused_key_never_starts_however_late_its_copy_comes() -> None:
+def test_refused_key_never_starts_when_a_delayed_copy_arrives() -> None:
     """A full table refuses a request as not run while a copy of it is in transit.
 
     The copy arrives when there is room again. If it ran, the caller would have been
@@ -103,7 +103,7 @@
     assert (caught.value.kind, caught.value.ran) == (ErrorKind.KEY_CONFLICT, Ran.NO)
 
 
-def test_a_full_table_refuses_new_keys_and_keeps_the_old() -> None:
+def test_full_table_refuses_new_keys_and_keeps_old_ones() -> None:
     """More keys arrive within two epochs than the table may hold.
 
     If an old key were evicted, a copy of its request would run a second time.
--- a/tests/steps/test_record.py
+++ b/tests/steps/test_record.py
@@ -9,7 +9,7 @@
 SampleBuilder = Callable[..., Sample]
 
 
-def test_an_answer_to_an_earlier_pull_is_dropped(make_sample: SampleBuilder) -> None:
+def test_reply_to_an_earlier_pull_is_dropped(make_sample: SampleBuilder) -> None:
     """A reply is delayed and the trainer pulls again before it arrives.
 
     If it were accepted, it could deliver a different sample for a position that another
@@ -33,7 +33,7 @@
     ("oldest", "at_pull", "at_reply", "accepted"),
     [(3, 4, 4, True), (3, 4, 5, False), (3, 5, 5, False), (3, 5, 4, False), (9, 4, 4, True)],
 )
-def test_a_sample_past_the_bound_is_never_held(
+def test_sample_beyond_the_staleness_bound_is_never_accepted(
     make_sample: SampleBuilder, oldest: int, at_pull: int, at_reply: int, accepted: bool
 ) -> None:
     """The trainer's version rises while its pull waits, or a node does not check the bound."""
--- a/tests/steps/test_step.py
+++ b/tests/steps/test_step.py
@@ -83,7 +83,7 @@
     assert (step.missing == step.spec.size) is not delivered
 
 
-def test_the_oldest_span_of_a_run_over_a_swap_counts(
+def test_oldest_span_decides_staleness_of_a_run_during_a_weight_swap(
     make_spec: SpecBuilder, make_sample: SampleBuilder
 ) -> None:
     """An engine swaps weights during a generation.
@@ -97,7 +97,7 @@
     assert pull_run_ids(step, pull(1, version=2)) == {}
 
 
-def test_a_run_past_the_bound_is_to_be_cancelled_and_its_position_made_again(
+def test_run_beyond_the_staleness_bound_is_cancelled_and_its_position_restarted(
     make_spec: SpecBuilder,
 ) -> None:
     """A long generation began with weights that are too old by now.
@@ -115,7 +115,7 @@
     assert step.wasted_tokens == 2
 
 
-def test_a_ready_sample_about_to_pass_the_bound_is_replaced_early_and_kept_meanwhile(
+def test_sample_about_to_exceed_the_bound_is_kept_until_its_replacement_is_ready(
     make_spec: SpecBuilder, make_sample: SampleBuilder
 ) -> None:
     """The trainer is expected to be one version ahead when it pulls next.
@@ -132,7 +132,7 @@
     assert pull_run_ids(step, pull(2, version=1)) == {0: "new"}
 
 
-def test_the_first_of_two_copies_is_kept_and_the_other_is_waste(
+def test_first_finished_copy_is_kept_and_the_other_counts_as_waste(
     make_spec: SpecBuilder, make_sample: SampleBuilder
 ) -> None:
     """A straggler ends just after its copy.
