--- a/samphirecleat/platform/_boot_settings.py
+++ b/samphirecleat/platform/_boot_settings.py
@@ -99,7 +99,8 @@
         grace_s=reader.number("bounds.gracePeriodS"),
         lease_s=reader.number("bounds.leaseDurationMs") / 1000.0,
         entry_ttl_s=reader.number("bounds.ttl_max_s"),
-        # The share of each core that this process may use, times the number of cores.
+        # The process gets the share cpuShare of one core, and that core is cpuCores times as fast
+        # as a core of the reference speed.
         cores=reader.number("limits.cpuShare", 1.0) * reader.number("limits.cpuCores", 1.0),
         fences_checked=reader.flag("bounds.fencingEnforced", default=False),
         keys_fail_closed=reader.flag("bounds.revokeFailClosed", default=False),
--- a/samphirecleat/targets/_client.py
+++ b/samphirecleat/targets/_client.py
@@ -43,7 +43,7 @@
     idempotent use it, because a kept-alive connection may be closed or dead when it is
     reused, and then it is unknown whether the request arrived. Probes and
     cancellations use it because they are needed when a kept-alive connection has gone
-    silent. Load orders use it too.
+    silent. Load orders use it too; see :meth:`order_version`.
     """
 
     def __init__(
@@ -227,7 +227,9 @@
         """Order an engine to load a version.
 
         The outcome says only whether the engine accepted the order; a later
-        :meth:`fetch_report` tells whether the version is live.
+        :meth:`fetch_report` tells whether the version is live. Each order opens a new
+        connection: a kept connection can be dead without notice, and the outcome of an
+        order sent on one would be unknown.
         """
         timeout = aiohttp.ClientTimeout(total=self._probe_timeout_s)
         body: Mapping[str, Any] = {"kind": "load_version", "version": version, "fencing": fencing}
