--- a/samphirecleat/durable/_access.py
+++ b/samphirecleat/durable/_access.py
@@ -28,7 +28,7 @@
 
 
 class ListedResult(NamedTuple):
-    """A result with its text, "" for an abandoned item."""
+    """A result with its text, "" for an item that was given up."""
 
     item: ItemListed
     text: str
--- a/samphirecleat/durable/_crash_backoff.py
+++ b/samphirecleat/durable/_crash_backoff.py
@@ -1,8 +1,8 @@
 """Backoff for items that are suspected of crashing engines.
 
-Failure guarded against: an item's prompt crashes every engine that starts it. Such an item may not
-be given up, and an interrupted run is normally retried at once on another engine. Without a backoff
-one item would take down all engines of the service, with every other run on them.
+The prompt of an item may crash every engine that starts it. Such an item may not be given up, and
+an interrupted run is normally retried at once on another engine. Without a backoff, one item would
+crash all engines of the service and end every other run on them.
 """
 
 from collections.abc import Collection
@@ -61,5 +61,5 @@
 def _item_digest(run: ItemRun) -> bytes:
     """Return the digest that identifies an item to the crash guard; it covers the item id too."""
     spec, item = run.open_item.step.spec, run.open_item.item
-    whose = f"{spec.workspace}/{item.item_id}"
-    return request_digest("POST", spec.host, item.raw_path, whose, item.body)
+    owner = f"{spec.workspace}/{item.item_id}"
+    return request_digest("POST", spec.host, item.raw_path, owner, item.body)
--- a/samphirecleat/durable/_duty_tasks.py
+++ b/samphirecleat/durable/_duty_tasks.py
@@ -14,18 +14,18 @@
 
     def start(
         self,
-        works: Sequence[Coroutine[Any, Any, None]],
+        coroutines: Sequence[Coroutine[Any, Any, None]],
         on_failure: Callable[[BaseException], None],
     ) -> None:
-        """Run all of ``works`` concurrently; ``on_failure`` gets each exception."""
+        """Run all of ``coroutines`` concurrently; ``on_failure`` gets each exception."""
 
         def report_failure(task: asyncio.Task[None]) -> None:
             error = None if task.cancelled() else task.exception()
             if error is not None:
                 on_failure(error)
 
-        for work in works:
-            task = asyncio.ensure_future(work)
+        for coroutine in coroutines:
+            task = asyncio.ensure_future(coroutine)
             task.add_done_callback(report_failure)
             self._tasks.append(task)
 
--- a/samphirecleat/durable/_election.py
+++ b/samphirecleat/durable/_election.py
@@ -82,8 +82,8 @@
             return False
         if view.claim_age_s < SETTLE_S:
             return False
-    heard = len(view.candidates)
-    if 2 * heard < view.known_members and view.runner_silent_s < MINORITY_DELAY_S:
+    seen = len(view.candidates)
+    if 2 * seen < view.known_members and view.runner_silent_s < MINORITY_DELAY_S:
         return False
     order = ranked(view.candidates, claim.node_id if claim is not None else "")
     return bool(order) and order[0].incarnation == view.own_incarnation
--- a/samphirecleat/durable/_listing.py
+++ b/samphirecleat/durable/_listing.py
@@ -116,7 +116,7 @@
             self._changed.set()
 
     def _rows_to_list(self) -> Mapping[str, Sequence[ItemListed]]:
-        """Return the rows to list by step: abandoned items, and items whose text is stored."""
+        """Return the rows to list by step: items that were given up or whose text is stored."""
         rows: dict[str, list[ItemListed]] = {}
         for name, item in self._waiting.items():
             ref = self._written.get(name)
@@ -128,19 +128,21 @@
     async def _list(self, rows: Mapping[str, Sequence[ItemListed]]) -> bool:
         """Append the rows of all steps; return False if that could not be confirmed."""
         began_s = asyncio.get_running_loop().time()
-        written = await self._write([ResultsListed(step_id, of) for step_id, of in rows.items()])
+        written = await self._write(
+            [ResultsListed(step_id, items) for step_id, items in rows.items()]
+        )
         if written.outcome is not AppendOutcome.APPENDED:
             self._logger.warning(
                 "steps=%s results=%d outcome=%s detail=%s; retrying",
                 ",".join(rows),
-                sum(len(of) for of in rows.values()),
+                sum(len(items) for items in rows.values()),
                 written.outcome.value,
                 written.detail,
             )
             return False
         self._observer.record_s("step_listing", asyncio.get_running_loop().time() - began_s)
-        for step_id, of in rows.items():
-            for row in of:
+        for step_id, items in rows.items():
+            for row in items:
                 self._waiting.pop((step_id, row.item_id), None)
                 self._written.pop((step_id, row.item_id), None)
         return True
@@ -149,10 +151,10 @@
 def _first_append(items: Sequence[FinishedItem]) -> Sequence[FinishedItem]:
     """Return the leading items, at least one, whose texts fit into one append."""
     size_bytes = 0
-    for at, item in enumerate(items):
+    for index, item in enumerate(items):
         size_bytes += _max_utf8_bytes(item.text or "")
-        if at and size_bytes > MAX_APPEND_BYTES:
-            return items[:at]
+        if index and size_bytes > MAX_APPEND_BYTES:
+            return items[:index]
     return items
 
 
--- a/samphirecleat/durable/_member_registry.py
+++ b/samphirecleat/durable/_member_registry.py
@@ -52,7 +52,7 @@
             self._logger.warning("writing the own record failed: %s", result.detail)
             await asyncio.sleep(self._rng.uniform(*RETRY_INTERVAL_S))
 
-    def _apply(self, entries: Sequence[LogEntry], _past: bool) -> None:
+    def _apply(self, entries: Sequence[LogEntry], _historical: bool) -> None:
         for entry in entries:
             self._addresses[entry.key] = entry.value.decode("ascii", "replace")
         own = self._board.identity.node_id
--- a/samphirecleat/durable/_orderer.py
+++ b/samphirecleat/durable/_orderer.py
@@ -130,10 +130,10 @@
         channel: OrderChannel,
         observer: Observer,
         *,
-        named: Callable[[str], int],
+        named_version: Callable[[str], int],
         work: StepWork,
     ) -> None:
-        """Issue orders as ``holder`` for ``work``; ``named`` returns a model's newest version."""
+        """Issue orders as ``holder``; ``named_version`` returns the newest version of a model."""
         self._service = service
         self._holder = holder
         self._routes = routes
@@ -141,7 +141,7 @@
         self._channel = channel
         self._observer = observer
         self._logger = observer.log("orders")
-        self._named = named
+        self._named_version = named_version
         self._work = work
         self._states: dict[tuple[str, str], _EngineModelState] = {}
         self._orders_accepted: dict[str, int] = {}
@@ -171,13 +171,13 @@
         for key in [key for key in self._states if key[0] not in serving]:
             del self._states[key]
             self._work.end_load(*key)
-        models = [model for model in spec.engine.models if self._named(model) > 1]
+        models = [model for model in spec.engine.models if self._named_version(model) > 1]
         for target in serving.values():
             for model in models:
                 self._refresh(target, model, now_s)
         runs = {model: self._work.runs_by_engine(model) for model in models}
         views = [self._view(target.instance, models, runs, now_s) for target in serving.values()]
-        demands = [self._work.demand(model, self._named(model)) for model in models]
+        demands = [self._work.demand(model, self._named_version(model)) for model in models]
         by_model = {demand.model: demand for demand in demands}
         for load in decide_loads(views, demands):
             state = self._states[load.instance, load.model]
@@ -234,8 +234,8 @@
         state.loading_version = 0
         self._work.end_load(*state.key)
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.ensure_future(work)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._order_tasks.add(task)
         task.add_done_callback(self._order_tasks.discard)
 
--- a/samphirecleat/durable/_planner.py
+++ b/samphirecleat/durable/_planner.py
@@ -170,8 +170,8 @@
     version = engine.versions.get(item.model, -1)
     if version < item.min_version or engine.running >= engine.slots:
         return False
-    room = engine.memory_tokens - engine.planned_tokens
-    return planned_tokens(item, is_long=is_long) <= room or engine.running == 0
+    free_tokens = engine.memory_tokens - engine.planned_tokens
+    return planned_tokens(item, is_long=is_long) <= free_tokens or engine.running == 0
 
 
 def planned_tokens(item: PendingItem, *, is_long: bool) -> int:
--- a/samphirecleat/durable/_records.py
+++ b/samphirecleat/durable/_records.py
@@ -134,7 +134,7 @@
 
 
 class ItemListed(NamedTuple):
-    """The result of an item; ``text`` is None if the item was abandoned."""
+    """The result of an item; ``text`` is None if the item was given up."""
 
     item_id: str
     versions: Sequence[int]
@@ -159,7 +159,7 @@
 
 
 class FinishedItem(NamedTuple):
-    """The outcome of an item before it is listed; ``text`` is None if it was abandoned."""
+    """The outcome of an item before it is listed; ``text`` is None if it was given up."""
 
     step_id: str
     item_id: str
--- a/samphirecleat/durable/_run_pool.py
+++ b/samphirecleat/durable/_run_pool.py
@@ -79,9 +79,9 @@
             listed = item_id not in run.open_item.step.unlisted
             if (step_id not in wanted_steps or listed) and run.task is not None:
                 run.task.cancel()
-        for noted in (self._failures, self._backoff_until_s):
-            for name in [name for name in noted if name[0] not in wanted_steps]:
-                del noted[name]
+        for by_name in (self._failures, self._backoff_until_s):
+            for name in [name for name in by_name if name[0] not in wanted_steps]:
+                del by_name[name]
 
     def close(self) -> None:
         """Cancel every run; the drafts are kept."""
@@ -109,7 +109,7 @@
         if run.draft.complete:
             self._crash_backoff.record_completion(run)
             self._work.targets.warm.returned(run.target, loop.time())
-        if run.draft.complete and not self._work.is_under_way(run.name):
+        if run.draft.complete and not self._work.is_in_progress(run.name):
             self._observer.record_s("item_run", loop.time() - began_s)
             self._logger.info(
                 "item=%s whole events=%d target=%s",
--- a/samphirecleat/durable/_runner.py
+++ b/samphirecleat/durable/_runner.py
@@ -58,7 +58,7 @@
         self._drafts = drafts
         self._runs = runs
         self._finisher = finisher
-        self._items = ItemLoader(work, observer)
+        self._item_loader = ItemLoader(work, observer)
         self._observer = observer
         self._next_move_check_s = 0.0
 
@@ -77,7 +77,7 @@
         finally:
             self._runs.close()
             self._finisher.close()
-            self._items.close()
+            self._item_loader.close()
 
     def open_drafts(self) -> Sequence[Draft]:
         """Return the drafts of all current runs and of texts that are being scored."""
@@ -96,11 +96,11 @@
         by_name: dict[ItemName, OpenItem] = {}
         for step, route in steps:
             if not step.items:
-                self._items.request(step)
+                self._item_loader.request(step)
                 continue
             for item_id in list(step.unlisted):
                 name = (step.spec.step_id, item_id)
-                if self._work.is_under_way(name):
+                if self._work.is_in_progress(name):
                     continue
                 open_item = OpenItem(step, step.items[item_id], route)
                 if self._needs_slot(open_item, now_s):
--- a/samphirecleat/durable/_service_duty.py
+++ b/samphirecleat/durable/_service_duty.py
@@ -29,7 +29,7 @@
     sees_targets: Callable[[], bool]
 
 
-NO_PROVISIONING: Final[Literal["no supply"]] = "no supply"
+NO_PROVISIONING: Final[Literal["no provisioning"]] = "no provisioning"
 """Marks a platform on which targets can't be ordered."""
 
 
@@ -45,7 +45,7 @@
     journal: ProgressJournal
     observer: Observer
     named_version: Callable[[str], int]
-    servers: TargetProvisioning | Literal["no supply"] = NO_PROVISIONING
+    servers: TargetProvisioning | Literal["no provisioning"] = NO_PROVISIONING
     guard: CrashGuard | None = None
 
 
@@ -90,7 +90,7 @@
             dependencies.targets,
             dependencies.orders,
             dependencies.observer,
-            named=dependencies.named_version,
+            named_version=dependencies.named_version,
             work=work,
         )
         self._server_orderer = (
@@ -111,15 +111,15 @@
     def start(self, on_failure: Callable[[BaseException], None]) -> None:
         """Start all components; see :class:`Duty`."""
         dependencies = self._dependencies
-        works = [
+        coroutines = [
             self._runner.run(),
             self._orderer.run(),
             dependencies.journal.save_periodically(self._runner.open_drafts),
             drop_forgotten_steps(dependencies.step_log, dependencies.observer),
         ]
         if self._server_orderer is not None:
-            works.append(self._server_orderer.run())
-        self._tasks.start(works, on_failure)
+            coroutines.append(self._server_orderer.run())
+        self._tasks.start(coroutines, on_failure)
 
     def stop(self) -> None:
         """Cancel all components."""
--- a/samphirecleat/durable/_service_work.py
+++ b/samphirecleat/durable/_service_work.py
@@ -41,7 +41,7 @@
         self._loading: set[tuple[str, str]] = set()
         self._allowed_lags: dict[str, int] = {}
 
-    def is_under_way(self, name: ItemName) -> bool:
+    def is_in_progress(self, name: ItemName) -> bool:
         """Return whether an item is running, being scored or submitted for listing."""
         return name in self.submitted or name in self.runs or name in self.scoring
 
--- a/samphirecleat/durable/_step_log.py
+++ b/samphirecleat/durable/_step_log.py
@@ -226,7 +226,7 @@
         self._next_key += 1
         return f"{key_prefix(subject)}/{self._writer_id}/{self._next_key}"
 
-    def _apply_entries(self, entries: Sequence[LogEntry], newest: bool) -> None:
+    def _apply_entries(self, entries: Sequence[LogEntry], historical: bool) -> None:
         now_s = asyncio.get_running_loop().time()
         for entry in entries:
             if not entry.value:
@@ -239,7 +239,7 @@
                 continue
             if record is not None:
                 changed = self.fold.apply(record, entry.offset, now_s)
-                if changed and isinstance(record, RunnerClaimed) and not newest:
+                if changed and isinstance(record, RunnerClaimed) and not historical:
                     self.claimed_at_s[record.service] = now_s
                 self._count(record, changed=changed)
                 if self._is_own_entry(entry.key):
--- a/tests/durable/test_orderer.py
+++ b/tests/durable/test_orderer.py
@@ -94,7 +94,7 @@
     holder = Holder("n1", 41, 4.0 if follows_other else 0.0, may_order, 100.0)
     return Orderer(
         "svc", holder, routes, targets, engines, Observer("n1"),
-        named=lambda _m: 2, work=work or FakeWork(),
+        named_version=lambda _m: 2, work=work or FakeWork(),
     )  # fmt: skip
 
 
