--- a/samphirecleat/controllers/admission/_crash_watch.py
+++ b/samphirecleat/controllers/admission/_crash_watch.py
@@ -11,8 +11,8 @@
 def call_digest(call: Call) -> bytes:
     """Return the digest that identifies a call independently of its request key.
 
-    It covers method, service and body. The caller is left
-    empty, because a call of this interface does not name it.
+    It covers method, service and body. The caller is left empty, because a call of
+    this interface does not name it.
     """
     body = json.dumps(call.body, sort_keys=True, separators=(",", ":")).encode()
     return request_digest(call.method, call.service, "", "", body)
--- a/samphirecleat/crashes/_crash_gossip.py
+++ b/samphirecleat/crashes/_crash_gossip.py
@@ -1,4 +1,4 @@
-"""Spreads reports of crashes among the nodes, on the datagrams of the heartbeats.
+"""Spreads reports of crashes among the nodes, in the heartbeat datagrams.
 
 Each node sends a report that is new to it a bounded number of times, and a datagram carries only a
 few reports: under load, reports are delayed but datagrams stay small.
--- a/tests/crashes/test_ledger.py
+++ b/tests/crashes/test_ledger.py
@@ -178,7 +178,7 @@
     record_ends(ledger, CALL, SEQUENTIAL[:2])
     assert ledger.record_answer(CALL, 0.2)
     assert not ledger.record_answer(CALL, 0.1)
-    record_ends(ledger, CALL, [("late news", 0.05, 0.15)])
+    record_ends(ledger, CALL, [("late report", 0.05, 0.15)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.CLEAR
     record_ends(ledger, CALL, [("x", 1.0, 1.1), ("y", 1.2, 1.3), ("z", 1.4, 1.5)])
     assert settled_verdict(ledger, CALL) is CrashVerdict.SUSPECT
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -264,7 +264,7 @@
         duty = await stage.holder(7)
         await asyncio.sleep(0.05)
         stage.log.topic(USAGE_TOPIC).down = stage.log.down = True
-        # A read that waits for news sees that the log is away when its wait is over.
+        # A read that waits for new records notices the outage of the log when its wait is over.
         await asyncio.sleep(0.8)
         stage.log.topic(USAGE_TOPIC).down = stage.log.down = False
         stage.now_s += WINDOW_S + 4.0
