--- a/samphirecleat/bench/_state_sizes.py
+++ b/samphirecleat/bench/_state_sizes.py
@@ -112,7 +112,7 @@
     for index in range(TARGET_COUNT):
         address = f"10.0.{index // 250}.{index % 250}:8000"
         view = TargetView(address, "engine", "zone-a", f"boot-{index}", 7, reported_at_s=index)
-        gossip.note(view, 10.0, 10.0)
+        gossip.record_report(view, 10.0, 10.0)
         views[address] = view._replace(running=1)
     return gossip, views
 
--- a/samphirecleat/crashes/_news.py
+++ b/samphirecleat/crashes/_crash_gossip.py
@@ -1,4 +1,4 @@
-"""Spreads reports of crashes among the nodes, on the datagrams of the heartbeats.
+"""Spreads reports of crashes among the nodes, in the heartbeat datagrams.
 
 Each node passes a report that is new to it on a bounded number of times. A datagram carries only a
 few reports, so many crashes at once delay the reports but don't enlarge the datagrams.
--- a/samphirecleat/crashes/_guard.py
+++ b/samphirecleat/crashes/_guard.py
@@ -7,8 +7,8 @@
 
 from ..observe import Observer
 from ._barred import is_blocked
+from ._crash_gossip import NO_CALL, CrashGossip
 from ._ledger import CrashLedger
-from ._news import NO_CALL, CrashGossip
 from ._suspect import CrashedRun, CrashVerdict
 
 # A target that still listens right after it cut a connection may have crashed and restarted at
@@ -98,7 +98,7 @@
         self._registration_state = registration_state
         self._siblings = siblings
         self._observer = observer
-        self._log = observer.log("crashes")
+        self._logger = observer.log("crashes")
         self._unconfirmed_cuts: list[_Cut] = []
         self._known_incarnations: frozenset[str] = frozenset()
         self._probes: dict[TargetStart, tuple[float, asyncio.Task[bool]]] = {}
@@ -115,7 +115,7 @@
         verdict = self._ledger.verdict(digest, now_s)
         if is_blocked(verdict):
             self._observer.counters[f"crash_calls_{verdict.value}"] += 1
-            self._log.warning(
+            self._logger.warning(
                 "request=%s call=%s %s evidence=%s",
                 request_id,
                 digest.hex(),
@@ -140,7 +140,7 @@
             return
         crash_count = len(suspect.crashed_runs)
         if self._ledger.record_answer(digest, now_s):
-            self._log.info(
+            self._logger.info(
                 "request=%s call=%s answered cleared_ends=%d", request_id, digest.hex(), crash_count
             )
             self._gossip.announce(digest)
@@ -158,7 +158,7 @@
         state = self._registration_state(start)
         listens = state is RegistrationState.READY and await self._probe(start, cut_s)
         counts = state is RegistrationState.READY and not listens
-        self._log.warning(
+        self._logger.warning(
             "request=%s call=%s target=%s cut after=%.3f s registered=%s listens=%s counts=%s "
             "detail=%s",
             request_id,
@@ -193,7 +193,7 @@
         for cut in unconfirmed_cuts:
             match self._registration_state(cut.start):
                 case RegistrationState.GONE:
-                    self._log.info(
+                    self._logger.info(
                         "call=%s target=%s ended: registration removed after=%.3f s",
                         cut.digest.hex(),
                         cut.start.name,
@@ -210,7 +210,7 @@
         for digest in self._ledger.refuse_proven_calls(now_s):
             # "barred", in the counter and the log, means that a call is now refused.
             self._observer.counters["crash_calls_barred"] += 1
-            self._log.error(
+            self._logger.error(
                 "call=%s barred evidence=%s", digest.hex(), self.evidence(digest, now_s)
             )
             runs = self._ledger.suspects[digest].crashed_runs.values()
@@ -253,7 +253,7 @@
         for name in gone:
             if self._ledger.record_crashed_target(name, now_s, now_s):
                 self._gossip.announce(NO_CALL, name)
-        self._log.info(
+        self._logger.info(
             "call=%s probed other targets looked_at=%d ended=%s",
             digest.hex(),
             len(sample),
--- a/samphirecleat/durable/_orderer.py
+++ b/samphirecleat/durable/_orderer.py
@@ -89,7 +89,7 @@
         """Return the highest version of a model known to be loaded at an engine."""
         ...
 
-    def note_version(self, instance: str, model: str, version: int) -> None:
+    def record_version(self, instance: str, model: str, version: int) -> None:
         """Record the version of a model that an engine reported."""
         ...
 
@@ -130,10 +130,10 @@
         channel: OrderChannel,
         observer: Observer,
         *,
-        named: Callable[[str], int],
+        named_version: Callable[[str], int],
         work: StepWork,
     ) -> None:
-        """Issue orders as ``holder`` for ``work``; ``named`` returns a model's newest version."""
+        """Issue orders as ``holder``; ``named_version`` returns the newest version of a model."""
         self._service = service
         self._holder = holder
         self._routes = routes
@@ -141,7 +141,7 @@
         self._channel = channel
         self._observer = observer
         self._logger = observer.log("orders")
-        self._named = named
+        self._named_version = named_version
         self._work = work
         self._states: dict[tuple[str, str], _EngineModelState] = {}
         self._orders_accepted: dict[str, int] = {}
@@ -173,13 +173,13 @@
         for key in [key for key in self._states if key[0] not in serving]:
             del self._states[key]
             self._work.end_load(*key)
-        models = [model for model in spec.engine.models if self._named(model) > 1]
+        models = [model for model in spec.engine.models if self._named_version(model) > 1]
         for target in serving.values():
             for model in models:
                 self._refresh(target, model, now_s)
         runs = {model: self._work.runs_by_engine(model) for model in models}
         views = [self._view(target.instance, models, runs, now_s) for target in serving.values()]
-        demands = [self._work.demand(model, self._named(model)) for model in models]
+        demands = [self._work.demand(model, self._named_version(model)) for model in models]
         by_model = {demand.model: demand for demand in demands}
         for load in decide_loads(views, demands):
             state = self._states[load.instance, load.model]
@@ -223,21 +223,21 @@
             state.next_check_at_s = now_s + LOAD_CHECK_INTERVAL_S
             self._spawn(self._check_load(target, model, state))
 
-    def _note_version(self, state: _EngineModelState, version: int) -> None:
+    def _record_version(self, state: _EngineModelState, version: int) -> None:
         """Record a version from the report of an engine.
 
         Its registration shows the version a second later, and not at all while the store is
         unavailable, which would delay the items that wait for the version.
         """
         state.version = max(state.version, version)
-        self._work.note_version(*state.key, state.version)
+        self._work.record_version(*state.key, state.version)
 
     def _finish_load(self, state: _EngineModelState) -> None:
         state.loading_version = 0
         self._work.end_load(*state.key)
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.ensure_future(work)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._order_tasks.add(task)
         task.add_done_callback(self._order_tasks.discard)
 
@@ -246,7 +246,7 @@
         report = await self._channel.report(target)
         if report is None or not state.loading_version:
             return
-        self._note_version(state, report.versions.get(model, 0))
+        self._record_version(state, report.versions.get(model, 0))
         self._orders_accepted[target.instance] = report.orders_accepted
         if state.version >= state.loading_version:
             self._finish_load(state)
@@ -265,7 +265,7 @@
                 self._back_off(state, REJECTED_BACKOFF_S)
                 return
             self._orders_accepted[target.instance] = report.orders_accepted
-            self._note_version(state, report.versions.get(model, 0))
+            self._record_version(state, report.versions.get(model, 0))
             if state.version >= version:
                 self._finish_load(state)
                 return
@@ -298,7 +298,7 @@
                 self._orders_accepted[target.instance] = expected + 1
                 state.next_check_at_s = now_s + FIRST_LOAD_CHECK_S
             case OrderOutcome.HOLDS:
-                self._note_version(state, version)
+                self._record_version(state, version)
                 self._finish_load(state)
             case OrderOutcome.FENCED:
                 self._back_off(state, REJECTED_BACKOFF_S)
--- a/samphirecleat/durable/_planner.py
+++ b/samphirecleat/durable/_planner.py
@@ -170,8 +170,8 @@
     version = engine.versions.get(item.model, -1)
     if version < item.min_version or engine.running >= engine.slots:
         return False
-    room = engine.memory_tokens - engine.planned_tokens
-    return planned_tokens(item, is_long=is_long) <= room or engine.running == 0
+    free_tokens = engine.memory_tokens - engine.planned_tokens
+    return planned_tokens(item, is_long=is_long) <= free_tokens or engine.running == 0
 
 
 def planned_tokens(item: PendingItem, *, is_long: bool) -> int:
@@ -195,7 +195,7 @@
     ordered: Sequence[PendingItem], placements: Sequence[Placement], token_s: float
 ) -> Mapping[str, Shortage]:
     """Return, by model, the shortage of items that were not placed."""
-    placed = {(place.item.step_id, place.item.item_id) for place in placements}
+    placed = {(p.item.step_id, p.item.item_id) for p in placements}
     short: dict[str, Shortage] = {}
     for item in ordered:
         if (item.step_id, item.item_id) in placed:
--- a/samphirecleat/durable/_run_pool.py
+++ b/samphirecleat/durable/_run_pool.py
@@ -79,9 +79,9 @@
             listed = item_id not in run.open_item.step.unlisted
             if (step_id not in wanted_steps or listed) and run.task is not None:
                 run.task.cancel()
-        for noted in (self._failures, self._backoff_until_s):
-            for name in [name for name in noted if name[0] not in wanted_steps]:
-                del noted[name]
+        for by_name in (self._failures, self._backoff_until_s):
+            for name in [name for name in by_name if name[0] not in wanted_steps]:
+                del by_name[name]
 
     def close(self) -> None:
         """Cancel every run; the drafts are kept."""
@@ -97,7 +97,7 @@
         try:
             await stream_item(run, self._engines, self._work.engine_stats.of(run.target.instance))
         except GenerationError as error:
-            self._note_failure(run, error)
+            self._record_failure(run, error)
             await self._crash_backoff.record_cut(run, began_s, error, loop.time())
         except asyncio.CancelledError:
             self._logger.info("item=%s run cancelled", run.open_item.item.item_id)
@@ -109,7 +109,7 @@
         if run.draft.complete:
             self._crash_backoff.record_completion(run)
             self._work.targets.warm.record_returned(run.target, loop.time())
-        if run.draft.complete and not self._work.is_under_way(run.name):
+        if run.draft.complete and not self._work.is_in_progress(run.name):
             self._observer.record_s("item_run", loop.time() - began_s)
             self._logger.info(
                 "item=%s whole events=%d target=%s",
@@ -119,7 +119,7 @@
             )
             self._finisher.score(run.open_item, run.draft)
 
-    def _note_failure(self, run: ItemRun, error: GenerationError) -> None:
+    def _record_failure(self, run: ItemRun, error: GenerationError) -> None:
         now_s = asyncio.get_running_loop().time()
         self._logger.warning(
             "item=%s target=%s ended=%s at_event=%d detail=%s",
--- a/samphirecleat/platform/_call_exchange.py
+++ b/samphirecleat/platform/_call_exchange.py
@@ -73,7 +73,7 @@
     return TargetFault(
         f"{target.instance}: {error!r}",
         Ran.NO if not_sent else Ran.UNKNOWN,
-        cut=not not_sent and is_connection_closed(error),
+        connection_closed=not not_sent and is_connection_closed(error),
     )
 
 
--- a/samphirecleat/serving/_types.py
+++ b/samphirecleat/serving/_types.py
@@ -175,8 +175,8 @@
 
     ``ran`` is NO only if no byte was sent to the target, or the target said that the call didn't
     run. ``refused`` means that the target has no capacity, ``wrong_instance`` that another target
-    answered at its address, and ``cut`` that the target closed the connection before its answer was
-    complete.
+    answered at its address, and ``connection_closed`` that the target closed the connection before
+    its answer was complete.
     """
 
     def __init__(
@@ -186,7 +186,7 @@
         *,
         refused: bool = False,
         wrong_instance: bool = False,
-        cut: bool = False,
+        connection_closed: bool = False,
     ) -> None:
         """Describe the failure in ``detail``."""
         super().__init__(detail)
@@ -194,7 +194,7 @@
         self.ran = ran
         self.refused = refused
         self.wrong_instance = wrong_instance
-        self.cut = cut
+        self.connection_closed = connection_closed
 
 
 class CallChannel(Protocol):
--- a/tests/durable/test_orderer.py
+++ b/tests/durable/test_orderer.py
@@ -56,7 +56,7 @@
         self.loading: set[tuple[str, str]] = set()
         self.noted: dict[tuple[str, str], int] = {}
 
-    def note_version(self, instance: str, model: str, version: int) -> None:
+    def record_version(self, instance: str, model: str, version: int) -> None:
         self.noted[instance, model] = version
 
     def demand(self, model: str, named_version: int) -> ModelDemand:
@@ -94,7 +94,7 @@
     holder = Holder("n1", 41, 4.0 if follows_other else 0.0, may_order, 100.0)
     return Orderer(
         "svc", holder, routes, targets, engines, Observer("n1"),
-        named=lambda _m: 2, work=work or FakeWork(),
+        named_version=lambda _m: 2, work=work or FakeWork(),
     )  # fmt: skip
 
 
--- a/tests/platform/test_target_channels.py
+++ b/tests/platform/test_target_channels.py
@@ -127,14 +127,14 @@
 async def generate(
     sessions: TargetSessions, target: Target, last_event_id: int = 0
 ) -> tuple[list[GenerationEvent], GenerationError | None]:
-    pieces: list[GenerationEvent] = []
+    events: list[GenerationEvent] = []
     call = GenerationCall("i1", "h", "/run/1", [("X-Model", "m")], b"p", last_event_id, 5.0, 5)
     try:
-        async for piece in GenerationStream(sessions).generate(call, target):
-            pieces.append(piece)
+        async for event in GenerationStream(sessions).generate(call, target):
+            events.append(event)
     except GenerationError as error:
-        return pieces, error
-    return pieces, None
+        return events, error
+    return events, None
 
 
 def test_a_broken_stream_resumes_after_its_last_complete_event() -> None:
@@ -188,8 +188,8 @@
     async def body() -> None:
         async with running_target() as (stand_in, target, sessions):
             stand_in.answers = [answer]
-            pieces, error = await generate(sessions, target)
-            assert (pieces, error.reason if error else None) == ([], reason)
+            events, error = await generate(sessions, target)
+            assert (events, error.reason if error else None) == ([], reason)
 
     asyncio.run(body())
 
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize(
-    ("error", "cut"),
+    ("error", "connection_closed"),
     [
         (aiohttp.ServerDisconnectedError(), True),
         (aiohttp.ClientPayloadError("reset within the answer"), True),
@@ -226,11 +226,11 @@
     ids=lambda value: type(value).__name__,
 )
 def test_a_fault_distinguishes_a_closed_connection_from_a_silent_one(
-    error: Exception, cut: bool
+    error: Exception, connection_closed: bool
 ) -> None:
     """Only a target that closed the connection may have crashed during the call."""
     fault = fault_from_error(Target("t", "svc", "127.0.0.1:1", "z", 1, False), error)
-    assert (fault.cut, fault.ran) == (cut, Ran.UNKNOWN)
+    assert (fault.connection_closed, fault.ran) == (connection_closed, Ran.UNKNOWN)
 
 
 def test_a_call_on_a_reused_connection_that_its_target_closes_is_sent_once() -> None:
@@ -248,7 +248,7 @@
             stand_in.answers = ["reset"]
             with pytest.raises(TargetFault) as raised:
                 await exchange.exchange(call, target, 2.0)
-            assert (raised.value.ran, raised.value.cut) == (Ran.UNKNOWN, True)
+            assert (raised.value.ran, raised.value.connection_closed) == (Ran.UNKNOWN, True)
             assert len(stand_in.seen) == 2
 
     asyncio.run(body())
