--- a/samphirecleat/serving/__init__.py
+++ b/samphirecleat/serving/__init__.py
@@ -30,7 +30,7 @@
     WeightedService,
     Workspace,
 )
-from ._workspaces import ANONYMOUS, KeyConflict, KeyTable, key_fingerprint
+from ._workspaces import ANONYMOUS, KeyConflict, KeyTable, key_mark
 
 __all__ = [
     "ANONYMOUS",
@@ -65,7 +65,7 @@
     "UsageMeter",
     "WeightedService",
     "Workspace",
-    "key_fingerprint",
+    "key_mark",
     "call_digest",
     "discard_usage",
     "advertised_members",
--- a/samphirecleat/serving/_authenticator.py
+++ b/samphirecleat/serving/_authenticator.py
@@ -6,7 +6,7 @@
 from ..errors import ErrorKind, Ran, RequestError
 from ._route_table import RouteTable
 from ._types import Workspace
-from ._workspaces import ANONYMOUS, key_fingerprint
+from ._workspaces import ANONYMOUS, key_mark
 
 AUTH_SCHEME: Final = "bearer"
 # A node that read the configuration this recently knows every key that must be valid.
@@ -64,7 +64,7 @@
             if workspace is not None and not self._must_fail_closed():
                 return workspace
             if key and not problem:
-                problem = f"API key with fingerprint {key_fingerprint(key)} is not valid"
+                problem = f"API key with fingerprint {key_mark(key)} is not valid"
         if anonymous:
             return ANONYMOUS
         if self._must_fail_closed() or self._config_age_s() > MAX_CONFIRMED_AGE_S:
--- a/samphirecleat/serving/_workspaces.py
+++ b/samphirecleat/serving/_workspaces.py
@@ -37,7 +37,7 @@
                 owners = owners_by_digest.setdefault(digest, {})
                 owners[workspace.name] = workspace
                 if len(owners) > 1:
-                    fingerprints[digest] = key_fingerprint(key)
+                    fingerprints[digest] = key_mark(key)
         self._by_digest: Mapping[bytes, Workspace] = {
             digest: next(iter(owners.values()))
             for digest, owners in owners_by_digest.items()
@@ -58,7 +58,7 @@
         return hashlib.blake2b(content, key=self._secret, digest_size=_DIGEST_BYTES).digest()
 
 
-def key_fingerprint(key: str) -> str:
+def key_mark(key: str) -> str:
     """Return a short fingerprint of a key for logs.
 
     It is the same on every node, and too short to check guesses of the key against.
--- a/tests/serving/test_authenticator.py
+++ b/tests/serving/test_authenticator.py
@@ -12,7 +12,7 @@
     RouteTable,
     RoutingConfig,
     Workspace,
-    key_fingerprint,
+    key_mark,
 )
 
 KEY = "f75rjvz48wuakn2ftima"
@@ -123,9 +123,7 @@
     table = KeyTable(config(1, Workspace("a", ["k", "k", "own"]), Workspace("b", ["k"])))
     assert table.find("k") is None
     assert table.find("own") == Workspace("a", ["k", "k", "own"])
-    assert [(c.fingerprint, c.workspaces) for c in table.conflicts] == [
-        (key_fingerprint("k"), ["a", "b"])
-    ]
+    assert [(c.fingerprint, c.workspaces) for c in table.conflicts] == [(key_mark("k"), ["a", "b"])]
 
 
 def test_key_listed_twice_in_one_workspace_is_valid() -> None:
@@ -141,5 +139,5 @@
     authenticator = make_authenticator(config(1, Workspace("shop", ["other"])))
     with pytest.raises(RequestError) as raised:
         authenticator.authenticate([f"Bearer {KEY}"], anonymous=False)
-    assert key_fingerprint(KEY) in raised.value.detail
+    assert key_mark(KEY) in raised.value.detail
     assert KEY[:4] not in raised.value.detail
