--- a/tests/controllers/targets/test_target_watch.py
+++ b/tests/controllers/targets/test_target_watch.py
@@ -103,7 +103,7 @@
 
 
 def test_load_of_another_instance_is_ignored() -> None:
-    """Guards against the add_updates of a former instance that arrives after a restart."""
+    """Guards against the load of a former instance that arrives after a restart."""
     sender, receiver = gossip_with(VIEW, 100.0), gossip_with(VIEW, 100.0)
     receiver.record_report(VIEW._replace(instance="boot-2", running=1), 100.5, 100.5)
     sender.record_report(VIEW._replace(running=5), 101.0, 101.0)
