--- a/samphirecleat/durable/_crash_backoff.py
+++ b/samphirecleat/durable/_crash_backoff.py
@@ -14,9 +14,9 @@
 from ._item_run import ItemRun
 from ._ports import GenerationError
 
-# Minimum time between runs of an item that is barred for crashing engines. Kept short, because the
+# Minimum time between runs of an item that is blocked for crashing engines. Kept short, because the
 # step still needs the item's result.
-BARRED_BACKOFF_S: Final = 3.5
+BLOCKED_ITEM_BACKOFF_S: Final = 3.5
 
 
 class CrashBackoff:
@@ -44,12 +44,12 @@
             self._guard.record_answer(run.open_item.item.item_id, _item_digest(run))
 
     def is_backing_off(self, name: ItemName, now_s: float) -> bool:
-        """Return whether an item is barred and its backoff has not passed yet."""
+        """Return whether an item is blocked and its backoff has not passed yet."""
         known = self._cut_runs.get(name)
         if self._guard is None or known is None:
             return False
         digest, cut_s = known
-        return now_s - cut_s < BARRED_BACKOFF_S and self._guard.is_blocked(digest)
+        return now_s - cut_s < BLOCKED_ITEM_BACKOFF_S and self._guard.is_blocked(digest)
 
     def keep_only(self, wanted_steps: Collection[str]) -> None:
         """Drop the records of items of other steps."""
@@ -59,7 +59,7 @@
 
 
 def _item_digest(run: ItemRun) -> bytes:
-    """Return the digest that identifies an item to the crash guard; it covers the item id too."""
+    """Return the digest that identifies an item to the crash guard; it covers the item ID too."""
     spec, item = run.open_item.step.spec, run.open_item.item
     owner = f"{spec.workspace}/{item.item_id}"
     return request_digest("POST", spec.host, item.raw_path, owner, item.body)
--- a/samphirecleat/durable/_crash_records.py
+++ b/samphirecleat/durable/_crash_records.py
@@ -1,7 +1,8 @@
 """Records in the log of calls that crash their targets; they survive the loss of every node.
 
 All nodes may lose power, or a node may start or be partitioned, while a call that crashes its
-targets is still being retried. Each node without these records would let it crash three more.
+targets is still being retried. A node that lacks these records would let the call crash three more
+targets.
 """
 
 import asyncio
@@ -89,7 +90,10 @@
             group.create_task(self._write_loop())
 
     def record(self, digest: bytes, *, own: bool) -> None:
-        """Schedule a record of a call; it is not written if another node writes it first."""
+        """Schedule a record of a call; it is not written if another node writes it first.
+
+        ``own`` says that this node observed the evidence itself; it then does not wait for others.
+        """
         if not self._needs_record(digest):
             return
         max_spread_s = DELAY_PER_NODE_S * self._node_count()
--- a/samphirecleat/durable/_drafts.py
+++ b/samphirecleat/durable/_drafts.py
@@ -75,7 +75,7 @@
 
     @property
     def last_event_id(self) -> int:
-        """The id of the last event, 0 for none."""
+        """The ID of the last event, 0 for none."""
         return len(self.event_data)
 
     def begin_run(self, run_id: str) -> None:
--- a/samphirecleat/durable/_duty.py
+++ b/samphirecleat/durable/_duty.py
@@ -1,9 +1,9 @@
 """Claims, performs and hands over duties; each duty has one holder among the nodes at a time.
 
-A duty is identified by its subject: a service whose steps are run and whose engines receive orders,
-or calls to the platform's API on behalf of the whole system. All duties share this mechanism: the
-claim in the step log, its offset as fencing number, the choice of the next holder, and the check
-that the claim is still current.
+The subject of a duty is its name. A holder either runs the steps of one service and sends orders to
+its engines, or calls the platform's API on behalf of the whole system. All duties share this
+mechanism: the claim in the step log, its offset as fencing number, the choice of the next holder,
+and the check that the claim is still current.
 """
 
 import asyncio
@@ -22,17 +22,17 @@
 from ._step_log import StepLog
 
 CHECK_INTERVAL_S: Final = 0.1
-CHECK_JITTER: Final = 0.2
+CHECK_JITTER_SHARE: Final = 0.2
 # Timeout for saving and for writing the next holder's claim when this node leaves.
 HAND_OVER_TIMEOUT_S: Final = 1.0
 # A holder acts only if the log confirmed its claim within this time.
 MAX_CONFIRMATION_AGE_S: Final = 0.8
-# Without checked fencing numbers, a new holder waits for the lease plus this before it acts. It
-# covers the confirmation age above and some slack.
+# If the called services do not check fencing numbers, a new holder waits for the lease plus this
+# before it acts. It covers the confirmation age above and some slack.
 TAKEOVER_SLACK_S: Final = 1.0
-# With checked fencing numbers, late calls of the previous holder are refused. The new holder only
-# waits until the previous one has stopped: its last confirmation, its last call in flight, and
-# slack for clocks and the log.
+# If they do check them, they refuse late calls of the previous holder. The new holder only waits
+# until the previous one has stopped: its last confirmation, its last call in flight, and slack for
+# clocks and the log.
 FENCED_TAKEOVER_WAIT_S: Final = 2.0
 
 
@@ -131,7 +131,9 @@
         try:
             while True:
                 await self._check_claims()
-                await asyncio.sleep(CHECK_INTERVAL_S * (1.0 + CHECK_JITTER * self._rng.random()))
+                await asyncio.sleep(
+                    CHECK_INTERVAL_S * (1.0 + CHECK_JITTER_SHARE * self._rng.random())
+                )
         finally:
             for subject in list(self._held):
                 self._stop_duty(subject)
@@ -258,8 +260,8 @@
 
     def _may_act(self, subject: str, claim: Claim) -> Callable[[float], bool]:
         def may_act(within_s: float) -> bool:
-            held = self._step_log.fold.claims.get(subject)
-            if held is None or held.offset != claim.offset or self._leaving:
+            current = self._step_log.fold.claims.get(subject)
+            if current is None or current.offset != claim.offset or self._leaving:
                 return False
             return self._step_log.is_fresh(within_s)
 
--- a/samphirecleat/durable/_election.py
+++ b/samphirecleat/durable/_election.py
@@ -59,7 +59,7 @@
     2. A new process of the node that ran the service last: it may send orders without a wait.
     3. The newest processes: in a rolling restart they are not restarted next.
 
-    Node ids break ties.
+    Node IDs break ties.
     """
     strong_cores = strong_host_min_cores(candidate.cores for candidate in candidates)
     newest_ms = max((candidate.started_at_ms for candidate in candidates), default=0)
--- a/samphirecleat/durable/_fold.py
+++ b/samphirecleat/durable/_fold.py
@@ -24,7 +24,7 @@
 
 
 class Claim(NamedTuple):
-    """The node that runs the work of a service; ``offset`` is the fencing token.
+    """The node that runs the work of a service; ``offset`` is the fencing number.
 
     ``previous_node_id`` is the node that held the service before, "" for the first claim.
     """
--- a/samphirecleat/durable/_item_decisions.py
+++ b/samphirecleat/durable/_item_decisions.py
@@ -14,7 +14,7 @@
 from ._ports import GenerationFailure
 
 ItemName = tuple[str, str]
-"""The ids of a step and of one of its items."""
+"""The IDs of a step and of one of its items."""
 
 # A run leaves an engine slower than MIN_SLOWNESS_TO_MOVE, relative to the median engine, if one
 # faster than MAX_DESTINATION_SLOWNESS has a free slot. Resuming costs a few milliseconds to
--- a/samphirecleat/durable/_item_run.py
+++ b/samphirecleat/durable/_item_run.py
@@ -46,7 +46,7 @@
 
     @property
     def name(self) -> ItemName:
-        """The ids of the step and the item."""
+        """The IDs of the step and the item."""
         return self.open_item.name
 
 
--- a/samphirecleat/durable/_journal.py
+++ b/samphirecleat/durable/_journal.py
@@ -39,6 +39,7 @@
         self._log = log
         self._observer = observer
         self._logger = observer.log("journal")
+        # Time in seconds and offset of each confirmed append.
         self._saved: deque[tuple[float, int]] = deque()
         self._trimmed_at_s = 0.0
 
--- a/samphirecleat/durable/_member_registry.py
+++ b/samphirecleat/durable/_member_registry.py
@@ -17,7 +17,7 @@
 MEMBER_TOPIC: Final = "keyed.members"
 # Long poll of the topic: nodes are added rarely, and a new node contacts those it finds here.
 READ_WAIT_S: Final = 5.0
-RETRY_INTERVAL_S: Final = (0.5, 1.5)
+RETRY_INTERVAL_RANGE_S: Final = (0.5, 1.5)
 
 
 class MemberRegistry:
@@ -49,8 +49,8 @@
             result = await self._log.append(MEMBER_TOPIC, [entry])
             if result.outcome is AppendOutcome.APPENDED:
                 return
-            self._logger.warning("writing the own record failed: %s", result.detail)
-            await asyncio.sleep(self._rng.uniform(*RETRY_INTERVAL_S))
+            self._logger.warning("writing this node's record failed: %s", result.detail)
+            await asyncio.sleep(self._rng.uniform(*RETRY_INTERVAL_RANGE_S))
 
     def _apply(self, entries: Sequence[LogEntry], _historical: bool) -> None:
         for entry in entries:
--- a/samphirecleat/durable/_open_item.py
+++ b/samphirecleat/durable/_open_item.py
@@ -17,5 +17,5 @@
 
     @property
     def name(self) -> ItemName:
-        """The ids of the step and the item."""
+        """The IDs of the step and the item."""
         return self.step.spec.step_id, self.item.item_id
--- a/samphirecleat/durable/_orderer.py
+++ b/samphirecleat/durable/_orderer.py
@@ -1,7 +1,7 @@
 """Orders the engines of a service to load weight versions, at the node that runs the service.
 
 Safety rests on checks by the engines: each order carries the offset of the runner's claim as
-fencing token, the number of orders that the engine has accepted before, and the instance it is
+fencing number, the number of orders that the engine has accepted before, and the instance it is
 meant for. The condition of a delayed order is false by the time it is executed. In addition, the
 holder issues orders only while the log has recently confirmed its claim, and a new holder waits
 until no earlier one can still do so; both clocks include time during which the host was suspended.
@@ -52,7 +52,7 @@
 
 
 class OrderOutcome(Enum):
-    """The response of an engine to an order."""
+    """The response of an engine to an order; HOLDS if it already has the version."""
 
     ACCEPTED = "accepted"
     HOLDS = "holds"
@@ -226,8 +226,8 @@
     def _record_version(self, state: _EngineModelState, version: int) -> None:
         """Record a version from the report of an engine.
 
-        Its registration shows the version a second later, and not at all while the store is
-        unavailable, which would delay the items that wait for the version.
+        The engine's registration shows the version a second later, and not at all while the store
+        is unavailable, which would delay the items that wait for the version.
         """
         state.version = max(state.version, version)
         self._work.record_version(*state.key, state.version)
--- a/samphirecleat/durable/_records.py
+++ b/samphirecleat/durable/_records.py
@@ -179,7 +179,7 @@
 
     The claim is valid only if the claim at offset ``replaces`` (-1: none) is in force at this
     record's place in the log, so a delayed append has no effect. The offset of this record
-    is the fencing token of the orders that the runner issues.
+    is the fencing number of the orders that the runner issues.
     """
 
     service: str
--- a/samphirecleat/durable/_scorer.py
+++ b/samphirecleat/durable/_scorer.py
@@ -113,6 +113,6 @@
         slots = sum(target.slots for target in self._targets.accepting_targets(service))
         known = self._semaphores.get(service)
         if known is None or known[0] != slots:
-            bound = asyncio.Semaphore(max(1, int(slots * REWARD_SLOT_SHARE)))
-            known = self._semaphores[service] = (slots, bound)
+            semaphore = asyncio.Semaphore(max(1, int(slots * REWARD_SLOT_SHARE)))
+            known = self._semaphores[service] = (slots, semaphore)
         return known[1]
--- a/samphirecleat/durable/_server_orders.py
+++ b/samphirecleat/durable/_server_orders.py
@@ -58,7 +58,7 @@
     ``exhausted_until_s``.
     """
 
-    servers: int = 0
+    targets: int = 0
     taken_at_s: float = -1e9
     backoff_until_s: float = 0.0
     exhausted_until_s: float = 0.0
@@ -123,7 +123,7 @@
         for zone, count in sorted(plan.items(), key=lambda row: seen[row[0]] - row[1]):
             if not self._is_due(zone, count, seen[zone], scaling, now_s):
                 continue
-            ordered = self._ordered.get(zone, _ZoneOrder()).servers
+            ordered = self._ordered.get(zone, _ZoneOrder()).targets
             if increase_failed and count < max(seen[zone], ordered):
                 continue
             self._logger.info(
@@ -162,7 +162,7 @@
         last = self._ordered.get(zone, _ZoneOrder())
         if now_s < last.backoff_until_s:
             return False
-        if count != last.servers:
+        if count != last.targets:
             return True
         settled = now_s - last.taken_at_s > scaling.boot_s + REGISTRATION_DELAY_S
         return settled and seen != count
@@ -193,7 +193,7 @@
                 )
             case ScaleOutcome.REFUSED:
                 self._ordered[zone] = last._replace(
-                    servers=count, backoff_until_s=now_s + EXHAUSTED_ZONE_BACKOFF_S
+                    targets=count, backoff_until_s=now_s + EXHAUSTED_ZONE_BACKOFF_S
                 )
             case ScaleOutcome.BUSY | ScaleOutcome.UNKNOWN:
                 self._ordered[zone] = last._replace(
--- a/samphirecleat/durable/_server_plan.py
+++ b/samphirecleat/durable/_server_plan.py
@@ -40,11 +40,11 @@
 
 
 def plan_spot_targets(
-    zones: Sequence[ZoneCapacity], wanted_servers: int, scaling: ScalingSpec
+    zones: Sequence[ZoneCapacity], wanted_targets: int, scaling: ScalingSpec
 ) -> Mapping[str, int]:
     """Return how many spot targets each zone should have, for all zones with a price.
 
-    In total they fill the gap between the ordinary targets and ``wanted_servers``, within the limit
+    In total they fill the gap between the ordinary targets and ``wanted_targets``, within the limit
     of each zone and the cost limit. Zones are filled evenly, cheaper ones first. An exhausted zone
     keeps its current number. Empty if spot targets are not offered or not cheaper.
     """
@@ -55,7 +55,7 @@
     prices = scaling.zone_prices
     budget = MAX_COST_SHARE * sum(zone.ordinary * prices[zone.zone] for zone in priced)
     budget -= sum(plan[name] * prices[name] * scaling.spot_price for name in plan)
-    lacking = wanted_servers - sum(zone.ordinary for zone in zones) - sum(plan.values())
+    lacking = wanted_targets - sum(zone.ordinary for zone in zones) - sum(plan.values())
     while lacking > 0:
         open_zones = [
             zone
--- a/samphirecleat/durable/_step_log.py
+++ b/samphirecleat/durable/_step_log.py
@@ -40,7 +40,7 @@
 ENDED_STEP_RETENTION_S: Final = 180.0
 # A step that is open for longer was abandoned by its trainer; none takes that long.
 OPEN_STEP_RETENTION_S: Final = 3600.0
-# Attempts to write the items of a step before the step is refused. An append whose response was
+# Attempts to write the items of a step before the step is rejected. An append whose response was
 # lost is repeated, because the location of the items must be known; unreferenced items are ignored.
 ITEM_WRITE_ATTEMPTS: Final = 3
 # IDs of forgotten steps that have yet to be deleted from the log.
@@ -173,8 +173,8 @@
 
     async def claim(self, service: str, node_id: str, incarnation: str) -> WriteResult:
         """Append a claim of a service for a node; the fold shows whether the claim is valid."""
-        held = self.fold.claims.get(service)
-        replaces = held.offset if held is not None else NO_CLAIM
+        current = self.fold.claims.get(service)
+        replaces = current.offset if current is not None else NO_CLAIM
         return await self._write(RunnerClaimed(service, node_id, incarnation, replaces), service)
 
     async def drop(self, step_id: str) -> bool:
--- a/samphirecleat/durable/_texts.py
+++ b/samphirecleat/durable/_texts.py
@@ -25,8 +25,8 @@
     writer_incarnation,
 )
 
-# Each topic processes its appends one at a time; with several topics, the services do not block
-# each other.
+# The log processes the appends of a topic one at a time; with several topics, the appends of
+# different steps rarely wait for each other.
 SHARDS: Final = 8
 # Size of a node's cache of texts that it wrote or read: a few steps, far below its memory.
 CACHE_BYTES: Final = 4_000_000
--- a/tests/durable/test_crash_records.py
+++ b/tests/durable/test_crash_records.py
@@ -36,7 +36,7 @@
             if self.ledger.record_crash(CALL, end, now_s):
                 self.records.record(CALL, own=True)
 
-    def standing(self) -> CrashVerdict:
+    def verdict(self) -> CrashVerdict:
         return self.ledger.verdict(CALL, asyncio.get_running_loop().time())
 
     async def stop(self) -> None:
@@ -68,14 +68,14 @@
 
     async def body(log: MemoryLog, fleet: list[Node]) -> None:
         fleet[0].end_runs("a", "b", "c")
-        assert fleet[0].standing() is CrashVerdict.REFUSED
+        assert fleet[0].verdict() is CrashVerdict.REFUSED
         fleet[0].records.record(CALL, own=True)
-        await until(lambda: fleet[1].standing() is CrashVerdict.REFUSED)
+        await until(lambda: fleet[1].verdict() is CrashVerdict.REFUSED)
         for node in fleet:
             await node.stop()
         fleet[:] = [Node(log, 7)]
         await until(lambda: fleet[0].records.caught_up)
-        assert fleet[0].standing() is CrashVerdict.REFUSED
+        assert fleet[0].verdict() is CrashVerdict.REFUSED
 
     run_fleet(body)
 
@@ -87,9 +87,9 @@
         await fleet[1].stop()
         fleet[1] = Node(log, 8)
         await until(lambda: fleet[1].records.caught_up)
-        assert fleet[1].standing() is CrashVerdict.SUSPECT
+        assert fleet[1].verdict() is CrashVerdict.SUSPECT
         fleet[1].end_runs("a", "b", "c")
-        assert fleet[1].standing() is CrashVerdict.REFUSED
+        assert fleet[1].verdict() is CrashVerdict.REFUSED
 
     run_fleet(body)
 
--- a/tests/durable/test_runner.py
+++ b/tests/durable/test_runner.py
@@ -6,7 +6,7 @@
 
 from samphirecleat.crashes import MIN_CRASHES_TO_REFUSE, CrashLedger
 from samphirecleat.durable import GenerationFailure
-from samphirecleat.durable._crash_backoff import BARRED_BACKOFF_S
+from samphirecleat.durable._crash_backoff import BLOCKED_ITEM_BACKOFF_S
 
 from ..crashes.guards import make_guard
 from ..fleets import until
@@ -315,11 +315,11 @@
         await stage.accept(step(items=4))
         await stage.listed(3)
         await asyncio.sleep(2.5)
-        rests = (loop.time() - began_s) / BARRED_BACKOFF_S
+        backoffs = (loop.time() - began_s) / BLOCKED_ITEM_BACKOFF_S
         assert (
             MIN_CRASHES_TO_REFUSE
             <= len(stage.engines.engines_of("s1-0"))
-            <= MIN_CRASHES_TO_REFUSE + 1 + rests
+            <= MIN_CRASHES_TO_REFUSE + 1 + backoffs
         )
         stage.engines.ends_on.clear()
         await stage.listed(4)
--- a/tests/durable/test_server_orders.py
+++ b/tests/durable/test_server_orders.py
@@ -96,7 +96,7 @@
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_intervals(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("samphirecleat.durable._server_orders.EXHAUSTED_ZONE_BACKOFF_S", 0.1)
     for name in ("CHECK_INTERVAL_S", "UNKNOWN_OUTCOME_BACKOFF_S", "REGISTRATION_DELAY_S"):
         monkeypatch.setattr(f"samphirecleat.durable._server_orders.{name}", 0.02)
