--- a/samphirecleat/bench/_loads.py
+++ b/samphirecleat/bench/_loads.py
@@ -118,7 +118,7 @@
     busy_engines = {engine.instance for engine in engines if engine.loading}
     for demand in demands:
         for engine in engines:
-            behind = engine.versions[demand.model] < demand.named_version
+            behind = engine.versions[demand.model] < demand.newest_version
             idle = not engine.runs.get(demand.model)
             if len(loads) < max_loads and behind and idle and engine.instance not in busy_engines:
                 loads.append(Load(engine.instance, demand.model))
--- a/samphirecleat/durable/_orderer.py
+++ b/samphirecleat/durable/_orderer.py
@@ -77,7 +77,7 @@
 class StepWork(Protocol):
     """The steps that the orders serve: source of demand, and receiver of load events."""
 
-    def demand(self, model: str, named_version: int) -> ModelDemand:
+    def demand(self, model: str, newest_version: int) -> ModelDemand:
         """Return the demand of a model's steps."""
         ...
 
@@ -130,10 +130,10 @@
         channel: OrderChannel,
         observer: Observer,
         *,
-        named_version: Callable[[str], int],
+        newest_version: Callable[[str], int],
         work: StepWork,
     ) -> None:
-        """Issue orders as ``holder``; ``named_version`` returns the newest version of a model."""
+        """Issue orders as ``holder``; ``newest_version`` returns the newest version of a model."""
         self._service = service
         self._holder = holder
         self._routes = routes
@@ -141,7 +141,7 @@
         self._channel = channel
         self._observer = observer
         self._logger = observer.log("orders")
-        self._named_version = named_version
+        self._newest_version = newest_version
         self._work = work
         self._states: dict[tuple[str, str], _EngineModelState] = {}
         self._orders_accepted: dict[str, int] = {}
@@ -173,18 +173,18 @@
         for key in [key for key in self._states if key[0] not in serving]:
             del self._states[key]
             self._work.end_load(*key)
-        models = [model for model in spec.engine.models if self._named_version(model) > 1]
+        models = [model for model in spec.engine.models if self._newest_version(model) > 1]
         for target in serving.values():
             for model in models:
                 self._refresh(target, model, now_s)
         runs = {model: self._work.runs_by_engine(model) for model in models}
         views = [self._view(target.instance, models, runs, now_s) for target in serving.values()]
-        demands = [self._work.demand(model, self._named_version(model)) for model in models]
+        demands = [self._work.demand(model, self._newest_version(model)) for model in models]
         by_model = {demand.model: demand for demand in demands}
         for load in decide_loads(views, demands):
             state = self._states[load.instance, load.model]
             demand = by_model[load.model]
-            state.loading_version = demand.named_version
+            state.loading_version = demand.newest_version
             state.next_check_at_s = now_s + ORDER_TIMEOUT_S + FIRST_LOAD_CHECK_S
             self._work.begin_load(*state.key)
             self._spawn(self._send_order(serving[load.instance], demand, state))
@@ -258,7 +258,7 @@
     async def _send_order(
         self, target: Target, demand: ModelDemand, state: _EngineModelState
     ) -> None:
-        model, version = demand.model, demand.named_version
+        model, version = demand.model, demand.newest_version
         if target.instance not in self._orders_accepted:
             report = await self._channel.report(target)
             if report is None:
--- a/samphirecleat/durable/_service_duty.py
+++ b/samphirecleat/durable/_service_duty.py
@@ -34,7 +34,7 @@
 
 
 class DutyDependencies(NamedTuple):
-    """Dependencies of service duties; ``named_version`` returns a model's newest version."""
+    """Dependencies of service duties; ``newest_version`` returns a model's newest version."""
 
     step_log: StepLog
     routes: RouteTable
@@ -44,7 +44,7 @@
     scorer: Scorer
     journal: ProgressJournal
     observer: Observer
-    named_version: Callable[[str], int]
+    newest_version: Callable[[str], int]
     servers: TargetProvisioning | Literal["no provisioning"] = NO_PROVISIONING
     guard: CrashGuard | None = None
 
@@ -90,7 +90,7 @@
             dependencies.targets,
             dependencies.orders,
             dependencies.observer,
-            named_version=dependencies.named_version,
+            newest_version=dependencies.newest_version,
             work=work,
         )
         self._server_orderer = (
--- a/samphirecleat/durable/_service_work.py
+++ b/samphirecleat/durable/_service_work.py
@@ -109,7 +109,7 @@
             if run.open_item.step.spec.model == model
         )
 
-    def demand(self, model: str, named_version: int) -> ModelDemand:
+    def demand(self, model: str, newest_version: int) -> ModelDemand:
         """Return what the open steps of a model, and the next step, need from the engines."""
         open_steps = [step for step, _route in self.open_steps() if step.spec.model == model]
         lag = allowed_lag(open_steps, self._allowed_lags.get(model, 0))
@@ -117,7 +117,7 @@
         known = [step for step in self.step_log.fold.steps.values() if step.spec.model == model]
         return model_demand(
             model,
-            named_version,
+            newest_version,
             lag,
             [step.spec.min_version for step in open_steps],
             engines_wanted(known, self.view.max_slots),
--- a/samphirecleat/durable/_weight_demand.py
+++ b/samphirecleat/durable/_weight_demand.py
@@ -38,7 +38,7 @@
 
 def model_demand(
     model: str,
-    named_version: int,
+    newest_version: int,
     lag: int,
     open_min_versions: Sequence[int],
     wanted_engines: int,
@@ -52,9 +52,9 @@
     """
     return ModelDemand(
         model,
-        named_version,
-        max([named_version - lag, *open_min_versions]),
-        min(named_version, named_version + 1 - lag),
+        newest_version,
+        max([newest_version - lag, *open_min_versions]),
+        min(newest_version, newest_version + 1 - lag),
         wanted_engines,
         keeps_runs,
         shortage is not None,
--- a/samphirecleat/durable/_weight_orders.py
+++ b/samphirecleat/durable/_weight_orders.py
@@ -29,7 +29,7 @@
     """The demand of a model's steps on the engines.
 
     Open steps accept ``needed_version`` and newer, the step after them ``next_version``, which
-    is never above ``named_version``, the newest published one. ``wanted_engines`` is the number
+    is never above ``newest_version``, the newest published one. ``wanted_engines`` is the number
     of engines that the next step fills. ``keeps_runs`` means that runs continue while their
     engine loads. ``waits`` is set if no engine has both a suitable version and a free slot for
     some item, ``urgent`` if such an item will be late unless it starts soon. ``slack_s`` is the
@@ -37,7 +37,7 @@
     """
 
     model: str
-    named_version: int
+    newest_version: int
     needed_version: int
     next_version: int
     wanted_engines: int
@@ -124,7 +124,7 @@
         for engine in engines
         if not engine.loading
         and not engine.backing_off
-        and engine.versions.get(model, 0) < min(behind_version, demand.named_version)
+        and engine.versions.get(model, 0) < min(behind_version, demand.newest_version)
         # While items wait for slots, a load at a usable engine would make its slots unavailable.
         and not (demand.waits and engine.versions.get(model, 0) >= demand.needed_version)
         and (
--- a/tests/durable/test_orderer.py
+++ b/tests/durable/test_orderer.py
@@ -59,8 +59,8 @@
     def record_version(self, instance: str, model: str, version: int) -> None:
         self.noted[instance, model] = version
 
-    def demand(self, model: str, named_version: int) -> ModelDemand:
-        return ModelDemand(model, named_version, named_version - 1, named_version, 9, True)
+    def demand(self, model: str, newest_version: int) -> ModelDemand:
+        return ModelDemand(model, newest_version, newest_version - 1, newest_version, 9, True)
 
     def runs_by_engine(self, model: str) -> Mapping[str, int]:
         return {f"nothing of {model}": 0}
@@ -94,7 +94,7 @@
     holder = Holder("n1", 41, 4.0 if follows_other else 0.0, may_order, 100.0)
     return Orderer(
         "svc", holder, routes, targets, engines, Observer("n1"),
-        named_version=lambda _m: 2, work=work or FakeWork(),
+        newest_version=lambda _m: 2, work=work or FakeWork(),
     )  # fmt: skip
 
 
