--- a/samphirecleat/bench/_crashes.py
+++ b/samphirecleat/bench/_crashes.py
@@ -17,7 +17,7 @@
 from ..crashes import MIN_CRASHES_TO_REFUSE, CrashedRun, CrashGossip, CrashLedger, CrashVerdict
 from ..crashes._request_digest import DIGEST_BYTES
 from ..durable import reading_pause_s
-from ..durable._crash_records import MIN_RECORDED_ENDS
+from ..durable._crash_records import MIN_RECORDED_CRASHES
 from ..peers import HeartbeatCodec, MemberRow, Message, MessageKind
 from ._harness import BenchResult, BenchRow, average_runs
 
@@ -71,7 +71,7 @@
 
 
 VARIANTS: Final = (
-    Variant("heartbeats and log", heartbeats=True, log_from=MIN_RECORDED_ENDS),
+    Variant("heartbeats and log", heartbeats=True, log_from=MIN_RECORDED_CRASHES),
     Variant("heartbeats", heartbeats=True),
     Variant("log", log_from=1),
     Variant("asking peers", asks_peers=True),
--- a/samphirecleat/durable/_crash_records.py
+++ b/samphirecleat/durable/_crash_records.py
@@ -22,7 +22,7 @@
 CRASH_TOPIC: Final = "keyed.crashes"
 # A call is recorded from its second crash: nearly every call that loses one target did not cause
 # the crash, and a third crash would already be one too many.
-MIN_RECORDED_ENDS: Final = 2
+MIN_RECORDED_CRASHES: Final = 2
 READ_WAIT_S: Final = 10.0
 # Minimum interval between the appends of one node.
 APPEND_INTERVAL_S: Final = 0.05
@@ -108,7 +108,7 @@
         written = self._written.get(digest)
         if suspect is None or not suspect.crashed_runs:
             return written is not None
-        if not suspect.refused and len(suspect.crashed_runs) < MIN_RECORDED_ENDS:
+        if not suspect.refused and len(suspect.crashed_runs) < MIN_RECORDED_CRASHES:
             return False
         if written is None or (suspect.refused and not written.refused):
             return True
