--- a/samphirecleat/durable/_step_log.py
+++ b/samphirecleat/durable/_step_log.py
@@ -191,7 +191,7 @@
         self._lister.add(item)
 
     @property
-    def unlisted(self) -> int:
+    def unlisted_count(self) -> int:
         """The number of results that are not listed yet."""
         return self._lister.waiting
 
--- a/samphirecleat/platform/_platform_node.py
+++ b/samphirecleat/platform/_platform_node.py
@@ -221,7 +221,7 @@
         self._logger.info("stopped")
 
     def _has_pending_work(self) -> bool:
-        unwritten = self.step_log.unlisted + self._counter.unwritten_calls
+        unwritten = self.step_log.unlisted_count + self._counter.unwritten_calls
         return self.front.in_flight > 0 or unwritten > 0
 
     def _wire_followers(self) -> None:
--- a/tests/durable/test_listing.py
+++ b/tests/durable/test_listing.py
@@ -36,7 +36,7 @@
             topic.answers, log.answers = list(texts), list(rows)
             for number in (2, 0):
                 step_log.list_result(finished("s1", f"s1-{number}", f"text {number}"))
-            await until(lambda: step_log.unlisted == 0)
+            await until(lambda: step_log.unlisted_count == 0)
             topic.catch_up()
             log.compact()
             topic.compact()
@@ -64,7 +64,7 @@
             texts = log.topics[topic_of(shard_of("s1"))]
             texts.appends = 0
             step_log.list_result(finished("s1", "s1-0"))
-            await until(lambda: step_log.unlisted == 0)
+            await until(lambda: step_log.unlisted_count == 0)
             assert texts.appends == 1
 
     asyncio.run(body())
@@ -81,7 +81,7 @@
             texts = log.topics[topic_of(shard_of("s1"))]
             before = len(texts.entries)
             step_log.list_result(finished("s1", "s1-0"))
-            await until(lambda: step_log.unlisted == 0)
+            await until(lambda: step_log.unlisted_count == 0)
             assert len(texts.entries) == before
 
     asyncio.run(body())
@@ -104,7 +104,7 @@
             texts.appends = 0
             for number in range(2):
                 step_log.list_result(finished("s1", f"s1-{number}", character * 300_000))
-            await until(lambda: step_log.unlisted == 0)
+            await until(lambda: step_log.unlisted_count == 0)
             assert texts.appends == appends
 
     asyncio.run(body())
@@ -158,7 +158,7 @@
                 step_log.list_result(finished(name[:2], name))
             await asyncio.sleep(0.1)
             log.gate.set()
-            await until(lambda: step_log.unlisted == 0)
+            await until(lambda: step_log.unlisted_count == 0)
             assert log.appends == 2
 
     asyncio.run(body())
--- a/tests/durable/test_step_log.py
+++ b/tests/durable/test_step_log.py
@@ -92,7 +92,7 @@
             await until(lambda: len(step_log.fold.steps["s1"].results) == 1)
             step_log.list_result(finished("s1", "s1-0"))
             await until(lambda: len(step_log.fold.steps["s1"].results) == 2)
-            await until(lambda: step_log.unlisted == 0)
+            await until(lambda: step_log.unlisted_count == 0)
             log.compact()
             async with following(log, "inc00002") as cold:
                 await until(lambda: cold.caught_up)
@@ -114,7 +114,7 @@
             for number in range(3):
                 step_log.list_result(finished("s1", f"s1-{number}"))
             await asyncio.sleep(0.1)
-            assert step_log.unlisted == 3
+            assert step_log.unlisted_count == 3
             page = await StepAccess(step_log).read("s1", 0, 0.0)
             assert (page.total, page.results) == (4, [])
             log.down = False
