--- a/samphirecleat/durable/_service_duty.py
+++ b/samphirecleat/durable/_service_duty.py
@@ -45,7 +45,7 @@
     journal: ProgressJournal
     observer: Observer
     newest_version: Callable[[str], int]
-    servers: TargetProvisioning | Literal["no provisioning"] = NO_PROVISIONING
+    provisioning: TargetProvisioning | Literal["no provisioning"] = NO_PROVISIONING
     guard: CrashGuard | None = None
 
 
@@ -98,12 +98,12 @@
                 work,
                 dependencies.routes,
                 dependencies.targets,
-                dependencies.servers.channel,
+                dependencies.provisioning.channel,
                 holder,
                 dependencies.observer,
-                dependencies.servers.sees_targets,
+                dependencies.provisioning.sees_targets,
             )
-            if isinstance(dependencies.servers, TargetProvisioning)
+            if isinstance(dependencies.provisioning, TargetProvisioning)
             else None
         )
         self._tasks = DutyTasks()
--- a/samphirecleat/platform/_node_duties.py
+++ b/samphirecleat/platform/_node_duties.py
@@ -46,7 +46,7 @@
         """Set up the duties; nothing is claimed before :meth:`run`."""
         self._reports_usage = settings.reports_usage
         if settings.orders_targets:
-            parts = parts._replace(servers=TargetProvisioning(api, view.registrations_current))
+            parts = parts._replace(provisioning=TargetProvisioning(api, view.registrations_current))
         self._services = ServiceDuties(parts)
         self._usage = UsageDuty(
             UsageDependencies(
