--- a/tests/durable/memory_log.py
+++ b/tests/durable/memory_log.py
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self.entries: list[LogEntry] = []
-        self.first_kept = 0
+        self.first_retained_offset = 0
         self.down = False
         self.answers: list[str] = []
         self.appends = 0
@@ -52,8 +52,8 @@
     async def read(self, from_offset: int, wait_s: float, max_bytes: int) -> LogSlice:
         if self.down:
             raise LogUnavailableError("down")
-        if from_offset < self.first_kept:
-            raise HistoryGoneError(self.first_kept)
+        if from_offset < self.first_retained_offset:
+            raise HistoryGoneError(self.first_retained_offset)
         if from_offset >= self.end and wait_s > 0.0:
             appended = self._appended
             try:
@@ -87,7 +87,7 @@
         return result
 
     def do_append(self, entries: Sequence[tuple[str, bytes]], at: int) -> AppendResult:
-        """Apply an append immediately, independent of its simulated response."""
+        """Apply an append now, whatever response is simulated."""
         if at != UNCONDITIONAL and at != self.end:
             return AppendResult(AppendOutcome.CONDITION_FAILED)
         offset = self.end
@@ -106,7 +106,7 @@
 
     def compact(self) -> None:
         """Simulate compaction: earlier entries remain readable only as the newest of their key."""
-        self.first_kept = self.end
+        self.first_retained_offset = self.end
 
 
 class MemoryLog(MemoryTopic):
--- a/tests/durable/runner_stage.py
+++ b/tests/durable/runner_stage.py
@@ -47,19 +47,19 @@
 class ScriptedEngines:
     """Engines that generate ``events`` events per text and fail as scripted.
 
-    ``ends`` lists, by engine, how its next runs end early. ``event_s`` is an engine's interval
-    between events, ``versions`` its weight version. Every engine that starts an item in ``ends_on``
-    closes the connection.
+    ``planned_failures`` lists, by engine, how its next runs end early. ``event_s`` is an engine's
+    interval between events, ``versions`` its weight version. Every engine that starts an item in
+    ``items_that_crash`` closes the connection.
     """
 
     def __init__(self) -> None:
-        self.ends: defaultdict[str, list[GenerationFailure]] = defaultdict(list)
+        self.planned_failures: defaultdict[str, list[GenerationFailure]] = defaultdict(list)
         self.event_s: defaultdict[str, float] = defaultdict(lambda: EVENT_S)
         self.versions: defaultdict[str, int] = defaultdict(lambda: 1)
         self.calls: list[tuple[str, GenerationCall]] = []
         self.closed: list[str] = []
         self.events = EVENTS
-        self.ends_on: set[str] = set()
+        self.items_that_crash: set[str] = set()
 
     def generate(
         self, call: GenerationCall, target: Target
@@ -70,25 +70,25 @@
     async def _stream(
         self, call: GenerationCall, engine: str
     ) -> AsyncGenerator[GenerationEvent, None]:
-        ends = self.ends[engine]
-        end = ends.pop(0) if ends else None
+        failures = self.planned_failures[engine]
+        failure = failures.pop(0) if failures else None
         try:
-            if call.item_id in self.ends_on:
+            if call.item_id in self.items_that_crash:
                 await asyncio.sleep(EVENT_S)
                 raise GenerationError("reset", GenerationFailure.BROKEN, connection_closed=True)
-            if end is GenerationFailure.SILENT:
+            if failure is GenerationFailure.SILENT:
                 await asyncio.sleep(1e6)
-            if end in (
+            if failure in (
                 GenerationFailure.REFUSED,
                 GenerationFailure.FAILED,
                 GenerationFailure.IMPOSSIBLE,
             ):
-                raise GenerationError("as scripted", end)
+                raise GenerationError("as scripted", failure)
             for event_id in range(call.last_event_id + 1, self.events + 1):
                 await asyncio.sleep(self.event_s[engine])
                 yield GenerationEvent(event_id, f"{event_id}", self.versions[engine])
-                if end is not None:
-                    raise GenerationError("as scripted", end)
+                if failure is not None:
+                    raise GenerationError("as scripted", failure)
         finally:
             self.closed.append(engine)
 
@@ -134,7 +134,7 @@
         )._replace(**route_changes)  # type: ignore[arg-type]  # fmt: skip
         spec = ServiceSpec("svc", "", 10, EngineSpec(slots, 4_000_000, ["m"], 65))
         routes.put(RoutingConfig(1, (route,), {"svc": spec}, CallerLimits()))
-        self.offer(engines)
+        self.register_engines(engines)
         self.engines = ScriptedEngines()
         self.scorer = StubScorer()
         self.drafts = DraftStore()
@@ -146,7 +146,7 @@
         )
         self.runner = StepRunner(self.work, self.drafts, self.runs, self.finisher, self.observer)
 
-    def offer(self, engines: Sequence[str]) -> None:
+    def register_engines(self, engines: Sequence[str]) -> None:
         """Register exactly these engines, with the first version of the model."""
         self.targets.replace(
             {name: Target(name, "svc", "127.0.0.1:1", "z", 9, False, {"m": 1}) for name in engines}
@@ -161,7 +161,7 @@
         """Return, by listed item of a step, whether it has a text."""
         return {r.item_id: r.completed for r in self.step_log.fold.steps[step_id].results}
 
-    async def listed(self, count: int, step_id: str = "s1") -> None:
+    async def wait_until_listed(self, count: int, step_id: str = "s1") -> None:
         """Wait until ``count`` items of a step are listed."""
         await until(lambda: len(self.results(step_id)) >= count)
 
@@ -181,7 +181,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def play(
+def run_service(
     engines: Sequence[str],
     body: Callable[[RunnerStage], Awaitable[None]],
     slots: int = 4,
--- a/tests/durable/test_item_store.py
+++ b/tests/durable/test_item_store.py
@@ -22,7 +22,7 @@
 
 from ..fleets import until
 from .memory_log import MemoryLog
-from .runner_stage import RunnerStage, play
+from .runner_stage import RunnerStage, run_service
 from .steps import accepted, step
 from .test_step_log import following
 
@@ -132,9 +132,9 @@
 
         monkeypatch.setattr(stage.step_log, "read_items", fail_twice)
         await stage.accept(step(items=2))
-        await stage.listed(2)
+        await stage.wait_until_listed(2)
 
-    play(["e1"], body)
+    run_service(["e1"], body)
     assert len(attempts) == 3
 
 
--- a/tests/durable/test_runner.py
+++ b/tests/durable/test_runner.py
@@ -10,16 +10,16 @@
 
 from ..crashes.guards import make_guard
 from ..fleets import until
-from .runner_stage import EVENTS, RunnerStage, play
+from .runner_stage import EVENTS, RunnerStage, run_service
 from .steps import finished, step
 
 
 def test_every_item_is_generated_scored_and_listed_once() -> None:
     async def body(stage: RunnerStage) -> None:
         await stage.accept(step(items=6, reward=True))
-        await stage.listed(6)
+        await stage.wait_until_listed(6)
 
-    stage = play(["e1", "e2"], body)
+    stage = run_service(["e1", "e2"], body)
     assert all(stage.results().values())
     assert sorted(stage.scorer.scored) == sorted(stage.results())
     assert len(stage.engines.calls) == 6
@@ -38,9 +38,9 @@
         await asyncio.sleep(0.2)
         assert not stage.engines.calls
         stage.work.record_version("e1", "m", 2)
-        await stage.listed(2)
+        await stage.wait_until_listed(2)
 
-    stage = play(["e1", "e2"], body)
+    stage = run_service(["e1", "e2"], body)
     assert {engine for engine, _call in stage.engines.calls} == {"e1"}
 
 
@@ -53,13 +53,13 @@
     async def body(stage: RunnerStage) -> None:
         stage.work.begin_load("e1", "m")
         await stage.accept(step(items=2))
-        await stage.listed(2)
+        await stage.wait_until_listed(2)
         assert {engine for engine, _call in stage.engines.calls} == {"e2"}
         stage.work.end_load("e1", "m")
         await stage.accept(step("s2", items=8))
-        await stage.listed(8, "s2")
+        await stage.wait_until_listed(8, "s2")
 
-    stage = play(["e1", "e2"], body)
+    stage = run_service(["e1", "e2"], body)
     assert {engine for engine, _call in stage.engines.calls} == {"e1", "e2"}
 
 
@@ -76,9 +76,9 @@
                 stage.work.engine_stats.of(name).record_event_interval(0.002)
         stage.engines.event_s["e1"] = 0.04
         await stage.accept(step(items=6))
-        await stage.listed(6)
+        await stage.wait_until_listed(6)
 
-    stage = play(["e1", "e2", "e3"], body)
+    stage = run_service(["e1", "e2", "e3"], body)
     moved = [call for engine, call in stage.engines.calls if call.last_event_id > 0]
     assert moved
     assert all(stage.engines.engines_of(call.item_id)[0] == "e1" for call in moved)
@@ -86,7 +86,7 @@
 
 
 @pytest.fixture
-def patient(monkeypatch: pytest.MonkeyPatch) -> None:
+def no_first_event_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     """Disable the timeout for the first event of a run."""
     monkeypatch.setattr("samphirecleat.durable._item_run.FIRST_EVENT_TIMEOUT_S", 1e6)
 
@@ -110,11 +110,11 @@
     monkeypatch.setattr("samphirecleat.durable._item_run.FIRST_EVENT_TIMEOUT_S", 0.1)
 
     async def body(stage: RunnerStage) -> None:
-        stage.engines.ends["e1"] = [end]
+        stage.engines.planned_failures["e1"] = [end]
         await stage.accept(step(items=2))
-        await stage.listed(2)
+        await stage.wait_until_listed(2)
 
-    stage = play(["e1", "e2"], body)
+    stage = run_service(["e1", "e2"], body)
     assert all(stage.results().values())
     texts = [stage.drafts.get(item_id).text() for item_id in stage.results()]
     assert texts == ["\n".join(str(n) for n in range(1, EVENTS + 1))] * 2
@@ -131,13 +131,13 @@
     monkeypatch.setattr("samphirecleat.durable._item_decisions.ENGINE_BACKOFF_S", 30.0)
 
     async def body(stage: RunnerStage) -> None:
-        stage.engines.ends["e1"] = [GenerationFailure.SILENT] * 9
+        stage.engines.planned_failures["e1"] = [GenerationFailure.SILENT] * 9
         await stage.accept(step(items=2))
-        await stage.listed(2)
+        await stage.wait_until_listed(2)
         await stage.accept(step("s2", items=4))
-        await stage.listed(4, "s2")
+        await stage.wait_until_listed(4, "s2")
 
-    stage = play(["e1", "e2"], body, slots=8)
+    stage = run_service(["e1", "e2"], body, slots=8)
     assert [engine for engine, _call in stage.engines.calls].count("e1") <= 2
 
 
@@ -153,11 +153,11 @@
     end: GenerationFailure, times: int, dead: bool
 ) -> None:
     async def body(stage: RunnerStage) -> None:
-        stage.engines.ends["e1"] = [end] * times
+        stage.engines.planned_failures["e1"] = [end] * times
         await stage.accept(step(items=1))
-        await stage.listed(1)
+        await stage.wait_until_listed(1)
 
-    stage = play(["e1"], body)
+    stage = run_service(["e1"], body)
     assert stage.results() == {"s1-0": not dead}
 
 
@@ -165,23 +165,23 @@
     async def body(stage: RunnerStage) -> None:
         stage.scorer.signature = ""
         await stage.accept(step(items=2, reward=True))
-        await stage.listed(2)
+        await stage.wait_until_listed(2)
 
-    assert not any(play(["e1"], body).results().values())
+    assert not any(run_service(["e1"], body).results().values())
 
 
 def test_an_item_is_given_up_after_the_retention_time() -> None:
     async def body(stage: RunnerStage) -> None:
-        stage.offer([])
+        stage.register_engines([])
         await stage.accept(step(items=2))
-        await stage.listed(2)
+        await stage.wait_until_listed(2)
 
-    stage = play(["e1"], body, retention_s=0.2)
+    stage = run_service(["e1"], body, retention_s=0.2)
     assert not any(stage.results().values())
     assert not stage.engines.calls
 
 
-def test_runs_and_scores_are_cancelled_when_their_step_ends(patient: None) -> None:
+def test_runs_and_scores_are_cancelled_when_their_step_ends(no_first_event_timeout: None) -> None:
     """A trainer has enough results and ends its step.
 
     Remaining runs would occupy slots that the next step needs, and targets must not get work of
@@ -197,7 +197,7 @@
         await until(lambda: not stage.work.scoring and not stage.work.runs)
         assert stage.engines.closed.count("e2") == 1
 
-    stage = play(["e1", "e2"], body, slots=1)
+    stage = run_service(["e1", "e2"], body, slots=1)
     assert not stage.scorer.scored
 
 
@@ -213,9 +213,9 @@
         draft.add(1, "saved", 1)
         draft.complete = True
         await stage.accept(step(items=1, reward=True))
-        await stage.listed(1)
+        await stage.wait_until_listed(1)
 
-    stage = play(["e1"], body)
+    stage = run_service(["e1"], body)
     assert not stage.engines.calls
     assert stage.scorer.scored == ["s1-0"]
 
@@ -233,9 +233,9 @@
         stage.engines.versions["e1"] = 2
         stage.work.record_version("e1", "m", 2)
         await stage.accept(step(items=1, min_version=2))
-        await stage.listed(1)
+        await stage.wait_until_listed(1)
 
-    stage = play(["e1"], body)
+    stage = run_service(["e1"], body)
     assert stage.engines.calls[0][1].last_event_id == 0
     assert list(stage.step_log.fold.steps["s1"].results[0].versions) == [2]
 
@@ -247,14 +247,14 @@
         assert stage.work.demand("m", 6).waits
         stage.work.record_version("e1", "m", 5)
         stage.engines.versions["e1"] = 5
-        await stage.listed(2)
+        await stage.wait_until_listed(2)
         await until(lambda: not stage.work.shortages)
         assert not stage.work.demand("m", 6).waits
 
-    play(["e1"], body)
+    run_service(["e1"], body)
 
 
-def test_a_stopped_runner_closes_its_runs(patient: None) -> None:
+def test_a_stopped_runner_closes_its_runs(no_first_event_timeout: None) -> None:
     """Another node takes over the claim of a service.
 
     Runs that continue here would occupy engine slots in addition to those of the new holder.
@@ -268,7 +268,7 @@
         await until(lambda: not stage.work.runs)
         assert stage.engines.closed == ["e1"] * 3
 
-    play(["e1"], body)
+    run_service(["e1"], body)
 
 
 def test_a_slow_engine_does_not_count_as_ready() -> None:
@@ -283,10 +283,10 @@
         assert [stage.work.is_slow(name) for name in ("e1", "e2", "e3")] == [True, False, False]
         await asyncio.sleep(0.0)
 
-    play(["e1", "e2", "e3"], body)
+    run_service(["e1", "e2", "e3"], body)
 
 
-def test_a_run_is_cancelled_when_another_node_lists_its_item(patient: None) -> None:
+def test_a_run_is_cancelled_when_another_node_lists_its_item(no_first_event_timeout: None) -> None:
     """Two nodes run a service for a short time, and the other one lists an item first.
 
     The run on this node would occupy a slot for a text that is no longer needed.
@@ -299,7 +299,7 @@
         stage.step_log.list_result(finished("s1", "s1-0"))
         await until(lambda: len(stage.work.runs) == 1)
 
-    play(["e1"], body)
+    run_service(["e1"], body)
 
 
 def test_an_item_that_crashes_engines_is_retried_rarely_and_others_complete() -> None:
@@ -311,9 +311,9 @@
     async def body(stage: RunnerStage) -> None:
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        stage.engines.ends_on.add("s1-0")
+        stage.engines.items_that_crash.add("s1-0")
         await stage.accept(step(items=4))
-        await stage.listed(3)
+        await stage.wait_until_listed(3)
         await asyncio.sleep(2.5)
         backoffs = (loop.time() - began_s) / BLOCKED_ITEM_BACKOFF_S
         assert (
@@ -321,10 +321,10 @@
             <= len(stage.engines.engines_of("s1-0"))
             <= MIN_CRASHES_TO_REFUSE + 1 + backoffs
         )
-        stage.engines.ends_on.clear()
-        await stage.listed(4)
+        stage.engines.items_that_crash.clear()
+        await stage.wait_until_listed(4)
 
     ledger = CrashLedger()
-    stage = play(["e1", "e2", "e3", "e4"], body, guard=make_guard(ledger))
+    stage = run_service(["e1", "e2", "e3", "e4"], body, guard=make_guard(ledger))
     assert all(stage.results().values())
     assert not any(suspect.crashed_runs for suspect in ledger.suspects.values())
--- a/tests/durable/test_server_orders.py
+++ b/tests/durable/test_server_orders.py
@@ -61,7 +61,7 @@
             "svc", "", 9, EngineSpec(SLOTS, 1 << 30, ["m"]), ScalingSpec(1, 9, 0.0, PRICES, 0.15)
         )
         self.routes.put(RoutingConfig(1, (), {"svc": spec}, CallerLimits()))
-        self.offer(spot={})
+        self.register_targets(spot={})
         inner.work.items_to_generate = lambda: self.items  # type: ignore[method-assign]
         self.orderer = ServerOrderer(
             inner.work,
@@ -73,7 +73,7 @@
             lambda: self.sees_targets,
         )
 
-    def offer(self, spot: dict[str, int]) -> None:
+    def register_targets(self, spot: dict[str, int]) -> None:
         """Register two ordinary engines in each zone, and spot ones by zone."""
         rows = [(f"{zone}{n}", zone, False) for zone in PRICES for n in range(2)]
         rows += [(f"s{zone}{n}", zone, True) for zone, count in spot.items() for n in range(count)]
@@ -84,7 +84,7 @@
             }
         )
 
-    def drive(self, condition: Callable[[], bool], then_s: float = 0.1) -> None:
+    def run_until(self, condition: Callable[[], bool], then_s: float = 0.1) -> None:
         async def body() -> None:
             task = asyncio.ensure_future(self.orderer.run())
             await until(condition)
@@ -105,43 +105,43 @@
 def test_targets_are_ordered_for_a_wave_and_kept_after_it() -> None:
     """Guards against targets released between two waves, which boot too late for the next."""
     stage = Stage(items=20)
-    stage.drive(lambda: sum(stage.platform.spot.values()) == 3, 0.0)
+    stage.run_until(lambda: sum(stage.platform.spot.values()) == 3, 0.0)
     stage.items = 0
-    stage.offer(spot=stage.platform.spot)
+    stage.register_targets(spot=stage.platform.spot)
     calls = len(stage.platform.calls)
-    stage.drive(lambda: True, 0.2)
+    stage.run_until(lambda: True, 0.2)
     assert len(stage.platform.calls) == calls
 
 
 def test_targets_are_released_when_the_peak_has_passed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("samphirecleat.durable._server_orders.PEAK_WINDOW_S", 0.1)
     stage = Stage(items=20)
-    stage.drive(lambda: sum(stage.platform.spot.values()) == 3)
+    stage.run_until(lambda: sum(stage.platform.spot.values()) == 3)
     stage.items = 0
-    stage.drive(lambda: sum(stage.platform.spot.values()) == 0)
+    stage.run_until(lambda: sum(stage.platform.spot.values()) == 0)
 
 
 @pytest.mark.parametrize("answer", [ScaleOutcome.UNKNOWN, ScaleOutcome.BUSY])
 def test_an_order_without_an_answer_is_repeated(answer: ScaleOutcome) -> None:
     stage = Stage(items=20)
     stage.platform.answers = [answer] * 3
-    stage.drive(lambda: sum(stage.platform.spot.values()) == 3)
+    stage.run_until(lambda: sum(stage.platform.spot.values()) == 3)
 
 
 def test_another_zone_substitutes_for_an_exhausted_one() -> None:
     """Guards against waiting for a zone whose targets were just reclaimed."""
     stage = Stage(items=20)
     stage.platform.answers = [ScaleOutcome.NONE_OR_FENCED]
-    stage.drive(lambda: sum(stage.platform.spot.values()) == 3)
+    stage.run_until(lambda: sum(stage.platform.spot.values()) == 3)
 
 
 def test_an_old_order_that_takes_effect_late_is_corrected() -> None:
     """Guards against a zone that stays at the number of an outdated order."""
     stage = Stage(items=20)
-    stage.drive(lambda: sum(stage.platform.spot.values()) == 3)
+    stage.run_until(lambda: sum(stage.platform.spot.values()) == 3)
     ordered = len(stage.platform.calls)
-    stage.offer(spot={"za": 0, "zb": 0})
-    stage.drive(lambda: len(stage.platform.calls) > ordered)
+    stage.register_targets(spot={"za": 0, "zb": 0})
+    stage.run_until(lambda: len(stage.platform.calls) > ordered)
 
 
 @pytest.mark.parametrize("fault", ["sees_targets", "may_act"])
@@ -149,7 +149,7 @@
     """Guards against a node that sees no targets and orders the maximum."""
     stage = Stage(items=200)
     setattr(stage, fault, False)
-    stage.drive(lambda: True, 0.2)
+    stage.run_until(lambda: True, 0.2)
     assert stage.platform.calls == []
 
 
@@ -157,10 +157,10 @@
     """Guards against releasing and reordering substitutes on every retry of an exhausted zone."""
     stage = Stage(items=20)
     stage.platform.exhausted = {"zb"}
-    stage.drive(lambda: stage.platform.spot.get("za") == 3)
-    stage.offer(spot=stage.platform.spot)
+    stage.run_until(lambda: stage.platform.spot.get("za") == 3)
+    stage.register_targets(spot=stage.platform.spot)
     before = len(stage.platform.calls)
-    stage.drive(lambda: len(stage.platform.calls) > before + 2)
+    stage.run_until(lambda: len(stage.platform.calls) > before + 2)
     assert {zone for zone, _count in stage.platform.calls[before:]} == {"zb"}
     stage.platform.exhausted = set()
-    stage.drive(lambda: stage.platform.spot.get("zb", 0) > 0)
+    stage.run_until(lambda: stage.platform.spot.get("zb", 0) > 0)
--- a/tests/durable/test_weight_demand.py
+++ b/tests/durable/test_weight_demand.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("named", "lag", "open_steps", "needed", "upcoming"),
+    ("newest", "lag", "open_steps", "needed", "upcoming"),
     [
         (7, 1, [state(7, 6)], 6, 7),
         (7, 1, [], 6, 7),
@@ -59,10 +59,10 @@
     ],
 )
 def test_versions_needed_by_open_and_upcoming_steps(
-    named: int, lag: int, open_steps: list[StepState], needed: int, upcoming: int
+    newest: int, lag: int, open_steps: list[StepState], needed: int, upcoming: int
 ) -> None:
     oldest = [step.spec.min_version for step in open_steps]
-    demand = model_demand("m", named, lag, oldest, 2, keeps_runs=True, shortage=None)
+    demand = model_demand("m", newest, lag, oldest, 2, keeps_runs=True, shortage=None)
     assert (demand.needed_version, demand.next_version) == (needed, upcoming)
     assert not demand.waits
     assert demand.slack_s == math.inf
--- a/tests/durable/test_weight_orders.py
+++ b/tests/durable/test_weight_orders.py
@@ -22,7 +22,7 @@
 def demand(
     model: str = "m",
     *,
-    named: int = 3,
+    newest: int = 3,
     wanted: int = 5,
     slack_s: float = math.inf,
     keeps_runs: bool = True,
@@ -32,7 +32,9 @@
     An item waits if ``slack_s`` is given, and is urgent if that is less than 2.5 s.
     """
     waits, urgent = slack_s < math.inf, slack_s < 2.5
-    return ModelDemand(model, named, named - 1, named, wanted, keeps_runs, waits, urgent, slack_s)
+    return ModelDemand(
+        model, newest, newest - 1, newest, wanted, keeps_runs, waits, urgent, slack_s
+    )
 
 
 @pytest.mark.parametrize(
@@ -178,7 +180,7 @@
     """The items of one model lack slots; an engine with its old version runs only other models."""
     engines = [OrderableEngine("e0", {"a": 1, "b": 2}, {"b": 5})]
     assert decide_loads(engines, [demand("a", slack_s=1.0)]) == [Load("e0", "a")]
-    assert decide_loads(engines, [demand("b", named=2, wanted=1)]) == []
+    assert decide_loads(engines, [demand("b", newest=2, wanted=1)]) == []
 
 
 def test_loads_that_keep_runs_go_to_busy_engines() -> None:
