--- a/tests/durable/memory_log.py
+++ b/tests/durable/memory_log.py
@@ -21,7 +21,7 @@
     """The entries of one topic; ``answers`` holds the outcomes of the next appends.
 
     ``lost``: applied, but the response is lost. ``late``: no response, applied by
-    :meth:`catch_up`. ``refused``: not applied. Appends succeed once the list is empty.
+    :meth:`apply_delayed`. ``refused``: not applied. Appends succeed once the list is empty.
     An append blocks until the ``gate`` event is set.
     """
 
@@ -98,7 +98,7 @@
         appended.set()
         return AppendResult(AppendOutcome.APPENDED, offset)
 
-    def catch_up(self) -> None:
+    def apply_delayed(self) -> None:
         """Apply the delayed appends."""
         delayed, self._delayed_appends = self._delayed_appends, []
         for entries, at in delayed:
--- a/tests/durable/test_item_store.py
+++ b/tests/durable/test_item_store.py
@@ -85,7 +85,7 @@
             with pytest.raises(RequestError) as raised:
                 await StepAccess(step_log).submit(step("s1"))
             assert raised.value.ran is Ran.NO
-            topic.catch_up()
+            topic.apply_delayed()
             assert log.end == 0
             await StepAccess(step_log).submit(step("s1"))
             await until(lambda: "s1" in step_log.fold.steps)
--- a/tests/durable/test_listing.py
+++ b/tests/durable/test_listing.py
@@ -37,7 +37,7 @@
             for number in (2, 0):
                 step_log.list_result(finished("s1", f"s1-{number}", f"text {number}"))
             await until(lambda: step_log.unlisted_count == 0)
-            topic.catch_up()
+            topic.apply_delayed()
             log.compact()
             topic.compact()
             async with following(log, "inc00002") as cold:
--- a/tests/durable/test_texts.py
+++ b/tests/durable/test_texts.py
@@ -85,7 +85,7 @@
         assert await store.write("s1", [finished("s1", "a", "first")]) is None
         assert len(topic.entries) == kept
         refs = await write_texts(store, "s1", a="second")
-        topic.catch_up()
+        topic.apply_delayed()
         topic.compact()
         assert await make_store(log, "w2").read([refs["a"]]) == {refs["a"].key: "second"}
 
--- a/tests/usage/test_usage.py
+++ b/tests/usage/test_usage.py
@@ -141,7 +141,7 @@
             counter.record_start("v", harness.now_s)
             harness.log.topic(USAGE_TOPIC).answers = list(answers)
             await until(lambda: not counter.unwritten_calls)
-        harness.log.topic(USAGE_TOPIC).catch_up()
+        harness.log.topic(USAGE_TOPIC).apply_delayed()
         ledger = UsageLedger(Observer("n1"))
         ledger.apply(harness.log.topic(USAGE_TOPIC).entries, False)
         assert ledger.counts(harness.window) == {"w": 1, "v": 1}
