--- a/samphirecleat/durable/_crash_records.py
+++ b/samphirecleat/durable/_crash_records.py
@@ -1,7 +1,8 @@
 """Records in the log of calls that crash their targets; they survive the loss of every node.
 
 All nodes may lose power, or a node may start or be partitioned, while a call that crashes its
-targets is still being retried. Each node without these records would let it crash three more.
+targets is still being retried. A node that lacks these records would let the call crash three more
+targets.
 """
 
 import asyncio
@@ -21,7 +22,7 @@
 CRASH_TOPIC: Final = "keyed.crashes"
 # A call is recorded from its second crash: nearly every call that loses one target did not cause
 # the crash, and a third crash would already be one too many.
-MIN_RECORDED_ENDS: Final = 2
+MIN_RECORDED_CRASHES: Final = 2
 READ_WAIT_S: Final = 10.0
 # Minimum interval between the appends of one node.
 APPEND_INTERVAL_S: Final = 0.05
@@ -89,7 +90,10 @@
             group.create_task(self._write_loop())
 
     def record(self, digest: bytes, *, own: bool) -> None:
-        """Schedule a record of a call; it is not written if another node writes it first."""
+        """Schedule a record of a call; it is not written if another node writes it first.
+
+        ``own`` says that this node observed the evidence itself; it then does not wait for others.
+        """
         if not self._needs_record(digest):
             return
         max_spread_s = DELAY_PER_NODE_S * self._node_count()
@@ -104,7 +108,7 @@
         written = self._written.get(digest)
         if suspect is None or not suspect.crashed_runs:
             return written is not None
-        if not suspect.refused and len(suspect.crashed_runs) < MIN_RECORDED_ENDS:
+        if not suspect.refused and len(suspect.crashed_runs) < MIN_RECORDED_CRASHES:
             return False
         if written is None or (suspect.refused and not written.refused):
             return True
