--- a/tests/client/test_caller.py
+++ b/tests/client/test_caller.py
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("how", ["cut", "silent", "frozen", "leaving"])
-def test_a_lost_answer_is_fetched_with_the_same_key(how: str) -> None:
+def test_lost_response_is_fetched_with_the_same_key(how: str) -> None:
     """The connections of the caller close or fall silent during a non-idempotent call.
 
     The call must not run twice. Its answer comes through another node, which asks the
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize("how", ["cut", "silent"])
-def test_a_stream_goes_on_through_another_node_without_a_part_twice(how: str) -> None:
+def test_stream_resumes_on_another_node_without_duplicate_parts(how: str) -> None:
     """The connection closes or falls silent in the middle of a streamed answer."""
 
     async def scenario() -> None:
@@ -194,7 +194,7 @@
     asyncio.run(scenario())
 
 
-def test_a_stream_whose_node_dies_is_not_begun_again() -> None:
+def test_stream_is_not_restarted_after_its_node_crashes() -> None:
     """A part was already yielded, and a second run would generate different tokens."""
 
     async def scenario() -> None:
--- a/tests/client/test_trainer.py
+++ b/tests/client/test_trainer.py
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("after", [0, 1, SIZE // 2, SIZE - 1])
-def test_the_owner_of_a_step_is_killed_and_nothing_is_missing_or_doubled(after: int) -> None:
+def test_killed_step_owner_loses_and_duplicates_nothing(after: int) -> None:
     """The node that runs a step is killed at various stages of the step.
 
     A faulty recovery would hang the trainer or deliver samples a second time.
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_answers_lost_and_messages_doubled_change_nothing(seed: int) -> None:
+def test_lost_responses_and_duplicate_messages_change_nothing(seed: int) -> None:
     """Answers are lost after their requests were processed, so the step changes nodes.
 
     Two nodes then run the step at once; the trainer must still get every sample once.
@@ -129,7 +129,7 @@
     run_with_fleet(body)
 
 
-def test_a_trainer_that_starts_again_gets_the_rest_only() -> None:
+def test_restarted_trainer_gets_only_the_remaining_results() -> None:
     """The trainer restarts in the middle of a step and has kept its samples."""
 
     async def body(fleet: Fleet, session: aiohttp.ClientSession) -> None:
@@ -147,7 +147,7 @@
     run_with_fleet(body)
 
 
-def test_a_node_that_drains_hands_its_step_over() -> None:
+def test_draining_node_hands_over_its_step() -> None:
     """An operator drains the node that runs a step."""
 
     async def body(fleet: Fleet, session: aiohttp.ClientSession) -> None:
--- a/tests/config/test_fold.py
+++ b/tests/config/test_fold.py
@@ -232,7 +232,7 @@
     assert after.folded_to == 2
 
 
-def test_a_publication_on_any_base_puts_an_end_to_a_lost_state() -> None:
+def test_publication_on_any_base_replaces_a_lost_state() -> None:
     """All nodes were lost and the log trimmed the accepted text, so no fold is certain.
 
     Without ANY_REVISION, no publication could ever be accepted again.
--- a/tests/entry/test_bad_input.py
+++ b/tests/entry/test_bad_input.py
@@ -142,7 +142,7 @@
     asyncio.run(scenario())
 
 
-def test_a_key_refused_for_its_body_never_runs_with_a_valid_one() -> None:
+def test_key_rejected_for_its_body_never_runs_with_a_valid_body() -> None:
     """A request was refused as not run, and is sent again with the same key and a valid body."""
 
     async def scenario() -> None:
@@ -158,7 +158,7 @@
     asyncio.run(scenario())
 
 
-def test_a_key_that_ran_is_never_reported_as_not_run() -> None:
+def test_key_that_ran_is_never_reported_as_not_run() -> None:
     """A caller retries a request that ran, with an invalid header."""
 
     async def scenario() -> None:
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.parametrize("with_key", [True, False])
-def test_a_caller_that_disconnects_during_its_generation(with_key: bool) -> None:
+def test_caller_that_disconnects_during_its_generation(with_key: bool) -> None:
     """With a key the run continues, since the caller may retry and ask for the answer.
 
     Without a key nobody can ask for it, so the engine is told to cancel the run.
@@ -229,7 +229,7 @@
     return response
 
 
-def test_a_reader_that_stops_reading_blocks_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stalled_reader_does_not_block_other_callers(monkeypatch: pytest.MonkeyPatch) -> None:
     """A caller requests a stream and reads only its first line.
 
     The generation still ends, other callers are served meanwhile, and the connection is
--- a/tests/entry/test_draining.py
+++ b/tests/entry/test_draining.py
@@ -8,7 +8,7 @@
 from samphirecleat.trial._fleet import Fleet
 
 
-def test_a_drained_node_starts_no_new_run_and_returns_known_answers() -> None:
+def test_draining_node_starts_no_run_and_returns_stored_responses() -> None:
     """A caller loses its answer while the node drains, and retries with the same key.
 
     It must get the existing answer. A new request must be refused as not run: if the
--- a/tests/peers/test_forward.py
+++ b/tests/peers/test_forward.py
@@ -93,7 +93,7 @@
     return caught.value.kind, caught.value.ran
 
 
-def test_a_slow_owner_is_awaited_and_receives_the_deadline() -> None:
+def test_slow_owner_is_awaited_and_receives_the_deadline() -> None:
     async def scenario() -> None:
         async with make_pair() as pair:
             forwarding = asyncio.create_task(pair.forward(deadline_in_s=4.0))
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("how", ["cut", "silent", "gone", "stranger"])
-def test_an_owner_that_is_lost_leaves_the_outcome_unknown(how: str) -> None:
+def test_lost_owner_leaves_the_outcome_unknown(how: str) -> None:
     """The owner can't be reached, rejects the shared key, or its connection breaks.
 
     Even if no byte of this request reached the owner, an earlier copy of it may have, so
@@ -142,7 +142,7 @@
         RequestError(ErrorKind.ANSWER_DISCARDED, ""),
     ],
 )
-def test_an_error_of_the_owner_is_returned_unchanged(error: RequestError) -> None:
+def test_error_of_the_owner_is_returned_unchanged(error: RequestError) -> None:
     async def scenario() -> None:
         async with make_pair() as pair:
             pair.owner.error = error
@@ -152,7 +152,7 @@
     asyncio.run(scenario())
 
 
-def test_a_forwarded_call_ends_at_its_deadline() -> None:
+def test_forwarded_call_ends_at_its_deadline() -> None:
     """The owner hangs; the caller's deadline still ends the wait of the forwarding node."""
 
     async def scenario() -> None:
--- a/tests/peers/test_rendezvous.py
+++ b/tests/peers/test_rendezvous.py
@@ -22,7 +22,7 @@
     assert owners.owner(KEYS[0]) == ""
 
 
-def test_only_the_keys_of_a_node_that_left_move() -> None:
+def test_only_keys_of_a_departed_node_change_owner() -> None:
     owners = RendezvousOwners()
     nodes = {f"n{index}" for index in range(10)}
     owners.update(nodes, KEYS)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -9,24 +9,24 @@
 
 
 @pytest.mark.parametrize("kind", list(ErrorKind))
-def test_every_kind_has_an_answer(kind: ErrorKind) -> None:
+def test_every_error_kind_has_a_response(kind: ErrorKind) -> None:
     assert 400 <= ANSWERS[kind].status < 600
 
 
 @pytest.mark.parametrize("kind", list(ErrorKind))
-def test_an_error_survives_its_body(kind: ErrorKind) -> None:
+def test_error_is_unchanged_after_encoding_and_decoding(kind: ErrorKind) -> None:
     error = RequestError(kind, "detail", retry_after_s=0.5)
     again = RequestError.from_body(error.body())
     assert (again.kind, again.ran, again.retry_after_s) == (kind, error.ran, 0.5)
 
 
-def test_a_kind_from_a_newer_node_is_never_taken_for_not_run() -> None:
+def test_unknown_error_kind_is_never_read_as_not_run() -> None:
     body = RequestError(ErrorKind.OVERLOADED, "x").body()
     body["kind"] = "a_kind_of_next_year"
     assert RequestError.from_body(body).ran is Ran.UNKNOWN
 
 
-def test_the_operators_page_lists_every_kind_as_it_is_answered() -> None:
+def test_operators_page_lists_every_error_kind_with_its_response() -> None:
     """The page and the table drift apart, and an operator is told to retry what may have run."""
     page = (Path(__file__).parent.parent / "docs" / "OPERATIONS.md").read_text()
     rows = re.findall(r"^\| `(\w+)` \| (\d+) \| (\w+) \| (\w+) \|", page, re.MULTILINE)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -158,7 +158,7 @@
     return verdicts
 
 
-def test_one_node_is_killed_in_mid_step_and_one_is_drained(tmp_path: Path) -> None:
+def test_step_survives_a_killed_and_a_drained_node(tmp_path: Path) -> None:
     """The node that runs a step is killed, then another node is drained.
 
     The trainer must still get every sample once, from the remaining node, and no caller
@@ -216,7 +216,7 @@
     await until(busy, "no exchange with the node to be drained")
 
 
-def test_the_lease_holder_is_stopped_past_its_lease_and_woken(tmp_path: Path) -> None:
+def test_lease_holder_is_suspended_past_its_lease_and_resumed(tmp_path: Path) -> None:
     """The lease holder for weight coordination is stopped until another node takes over.
 
     When it resumes, it still believes that it holds the lease. No engine may accept an
--- a/tests/test_publish.py
+++ b/tests/test_publish.py
@@ -64,7 +64,7 @@
     assert f"revision 0 by {winner}" in by_outcome[PublishOutcome.REJECTED].detail
 
 
-def test_a_lost_answer_is_looked_up_and_never_appended_again() -> None:
+def test_lost_response_is_looked_up_and_never_appended_again() -> None:
     """The log appends the record, and the connection breaks before its response."""
 
     async def scenario(stand_in: StandInLog, log: HttpLog) -> tuple[PublishResult, int]:
--- a/tests/trial/test_frozen_node.py
+++ b/tests/trial/test_frozen_node.py
@@ -37,7 +37,7 @@
     return None if response.status == 200 else RequestError.from_body(body["error"]).kind
 
 
-def test_a_node_that_stood_still_sends_nothing_to_a_target_that_left_meanwhile() -> None:
+def test_resumed_node_sends_nothing_to_a_target_that_left_during_the_freeze() -> None:
     """Targets report that they are leaving while a node is frozen.
 
     After the node resumes, its first requests are routed with outdated target state. A
@@ -66,7 +66,7 @@
     run_with_fleet(body)
 
 
-def test_a_node_that_stood_still_learns_from_others_what_the_host_list_said() -> None:
+def test_resumed_node_learns_host_list_changes_from_its_peers() -> None:
     """The host list reports an engine as leaving while a node is frozen, and then fails.
 
     The resumed node cannot read the list. Unless it learns from its peers that the
