--- a/samphirecleat/client/_caller.py
+++ b/samphirecleat/client/_caller.py
@@ -14,7 +14,7 @@
 from ..requests import RetryBudget
 from ._entries import Entry, EntryList
 from ._node_call import AnswerLostError, ConnectFailedError, NodeRequest, ReplayFilter, call_node
-from ._resend import (
+from ._retry_decision import (
     SEND_NOT_RUN_KINDS,
     AnswerLost,
     ConnectFailed,
--- a/samphirecleat/crashes/__init__.py
+++ b/samphirecleat/crashes/__init__.py
@@ -1,6 +1,6 @@
 """Detects calls that crash their targets, across all nodes, and bounds their retries."""
 
-from ._barred import blocked_error, is_blocked
+from ._blocked import blocked_error, is_blocked
 from ._crash_gossip import CrashGossip
 from ._guard import (
     CrashGuard,
--- a/samphirecleat/crashes/_guard.py
+++ b/samphirecleat/crashes/_guard.py
@@ -6,7 +6,7 @@
 from typing import Final, NamedTuple, Protocol
 
 from ..observe import Observer
-from ._barred import is_blocked
+from ._blocked import is_blocked
 from ._crash_gossip import NO_CALL, CrashGossip
 from ._ledger import CrashLedger
 from ._suspect import CrashedRun, CrashVerdict
--- a/samphirecleat/platform/_auxiliary_endpoints.py
+++ b/samphirecleat/platform/_auxiliary_endpoints.py
@@ -11,7 +11,7 @@
 from ..serving import advertised_members
 from ._metadata_store import MetadataStore
 from ._peer_texts import PATH_TEXTS, encode_texts_reply
-from ._store_ways import RELAY_PREFIX
+from ._store_routes import RELAY_PREFIX
 from ._wire_names import PATH_READY, PATH_RESOLVE
 
 # Upper bound of the TTL of directory answers. Some callers cache an answer for three times as long,
--- a/samphirecleat/platform/_metadata_store.py
+++ b/samphirecleat/platform/_metadata_store.py
@@ -37,7 +37,7 @@
     parse_append_offset,
     parse_first_offset,
 )
-from ._store_ways import StoreRoute, StoreRoutes
+from ._store_routes import StoreRoute, StoreRoutes
 from ._wire_names import PATH_APPEND, PATH_NEWEST, PATH_READ, PATH_TRIM, TOPIC_OPERATOR
 
 # Timeout of a call, in addition to its requested wait. The store usually answers in milliseconds. A
--- a/tests/client/test_resend.py
+++ b/tests/client/test_retry_decision.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from samphirecleat.client._resend import (
+from samphirecleat.client._retry_decision import (
     AnswerLost,
     ConnectFailed,
     ErrorAnswer,
--- a/tests/platform/test_crashing_calls.py
+++ b/tests/platform/test_crashing_calls.py
@@ -8,7 +8,7 @@
 import pytest
 
 from .nodes import Caller, Nodes, config_document, config_with_keys, running_nodes
-from .standin_ending import CrashingTarget, crashing_targets
+from .standin_crashing import CrashingTarget, crashing_targets
 
 # Time within which every connected node learns of a crash.
 GOSSIP_S = 3.0
--- a/tests/platform/test_store_ways.py
+++ b/tests/platform/test_store_routes.py
@@ -4,7 +4,12 @@
 
 import pytest
 
-from samphirecleat.platform._store_ways import MAX_PEERS_TRIED, PEER_SKIP_S, StoreRoute, StoreRoutes
+from samphirecleat.platform._store_routes import (
+    MAX_PEERS_TRIED,
+    PEER_SKIP_S,
+    StoreRoute,
+    StoreRoutes,
+)
 
 PEERS = ["10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"]
 
--- a/tests/requests/test_at_most_once.py
+++ b/tests/requests/test_at_most_once.py
@@ -14,7 +14,7 @@
     run_state_machine_as_test,
 )
 
-from samphirecleat.client._resend import (
+from samphirecleat.client._retry_decision import (
     AnswerLost,
     ErrorAnswer,
     RetryNewKey,
