--- a/samphirecleat/controllers/admission/_dispatcher.py
+++ b/samphirecleat/controllers/admission/_dispatcher.py
@@ -51,8 +51,8 @@
     ) -> None:
         """Create a dispatcher.
 
-        ``guard`` bars callers' calls that crash their targets; without it, no call
-        is barred.
+        ``guard`` blocks callers' calls that crash their targets; without it, no call
+        is blocked.
         """
         self._board = board
         self._limiter = limiter
@@ -125,7 +125,7 @@
         budget = self._budgets.setdefault(service.name, RetryBudget(limit.ratio, limit.cap))
         budget.record_first_attempt()
         while True:
-            self._refuse_if_barred(call, attempts)
+            self._refuse_if_blocked(call, attempts)
             target = self._choose(service, call, attempts.addresses)
             if target is None:
                 raise _downgrade_not_run(
@@ -169,7 +169,7 @@
         """
         return self._guard if call.work_class is WorkClass.CALLER else None
 
-    def _refuse_if_barred(self, call: Call, attempts: _Attempts) -> None:
+    def _refuse_if_blocked(self, call: Call, attempts: _Attempts) -> None:
         """Check that the crash guard lets the call be sent to a target now.
 
         :raises RequestError: CRASHES_TARGETS if the call crashes its targets,
