--- a/samphirecleat/platform/__init__.py
+++ b/samphirecleat/platform/__init__.py
@@ -1,4 +1,7 @@
-"""Clients of the platform's log, host list and weight store."""
+"""The platform node, and clients of the platform's log, host list and weight store.
+
+Only the clients are exported; the node runs as ``python -m samphirecleat.platform``.
+"""
 
 from ._host_list import HostListUnavailableError, HttpHostList, ListedHost
 from ._log import (
--- a/samphirecleat/platform/_crash_parts.py
+++ b/samphirecleat/platform/_crash_parts.py
@@ -12,7 +12,7 @@
 
 
 class CrashParts(NamedTuple):
-    """What watches a node's targets, shares crashes by heartbeat and keeps them in the log."""
+    """Components that detect target crashes, share them by heartbeat and keep them in the log."""
 
     guard: CrashGuard
     gossip: CrashGossip
--- a/samphirecleat/platform/_front.py
+++ b/samphirecleat/platform/_front.py
@@ -100,7 +100,7 @@
             return await self._handle_item(request, raw_path)
         host = _host_of(request)
         route = self._find_route(host, raw_path)
-        workspace = self._workspace(request, anonymous=route.allows_anonymous)
+        workspace = self._authenticate(request, anonymous=route.allows_anonymous)
         body = await self._read_body(request)
         request_id = request.headers.get(REQUEST_ID, "")
         if route.kind in (CallKind.ROLLOUT, CallKind.BATCH):
@@ -182,14 +182,17 @@
         except web.HTTPRequestEntityTooLarge as error:
             raise RequestError(ErrorKind.BODY_TOO_LARGE, str(error)) from error
 
-    def _workspace(self, request: web.BaseRequest, *, anonymous: bool) -> str:
-        """Return the name of a caller's workspace, "" for an anonymous caller."""
+    def _authenticate(self, request: web.BaseRequest, *, anonymous: bool) -> str:
+        """Return the name of the caller's workspace, "" for an anonymous caller.
+
+        :raises RequestError: see :meth:`ApiKeyAuthenticator.authenticate`.
+        """
         credentials = request.headers.getall(CREDENTIALS, ())
         return self._authenticator.authenticate(credentials, anonymous=anonymous).name
 
-    def _step_workspace(self, request: web.BaseRequest) -> str:
+    def _authenticate_for_steps(self, request: web.BaseRequest) -> str:
         anonymous = self._routes.allows_anonymous_steps(_host_of(request))
-        return self._workspace(request, anonymous=anonymous)
+        return self._authenticate(request, anonymous=anonymous)
 
     def _caller_of(self, request: web.BaseRequest, workspace: str) -> str:
         """Return the caller's identity: its workspace, or without API keys its identity headers."""
@@ -217,7 +220,7 @@
 
     async def _handle_step(self, request: web.BaseRequest, raw_path: str) -> web.StreamResponse:
         step_id, query = _split_path(raw_path, PATH_STEP)
-        workspace = self._step_workspace(request)
+        workspace = self._authenticate_for_steps(request)
         match request.method:
             case "GET":
                 wait_s = _parse_count(request.headers.get(WAIT_MS, "0"), WAIT_MS) / 1000.0
@@ -232,7 +235,7 @@
 
     async def _handle_item(self, request: web.BaseRequest, raw_path: str) -> web.StreamResponse:
         step_id, query = _split_path(raw_path, PATH_ITEM)
-        workspace = self._step_workspace(request)
+        workspace = self._authenticate_for_steps(request)
         body = await self._steps.body(step_id, query.get("id", ""), workspace)
         if body is None:
             raise RequestError(ErrorKind.UNKNOWN_STEP, f"step {step_id} has no such item")
--- a/samphirecleat/platform/_log.py
+++ b/samphirecleat/platform/_log.py
@@ -146,7 +146,7 @@
 def _read_batch(body: Any) -> LogBatch:
     """Return the typed batch.
 
-    :raises ValueError: or another of ``ANSWER_FAULTS``, when the body is malformed.
+    :raises ValueError: or another of ``RESPONSE_ERRORS``, when the body is malformed.
     """
     records = [LogRecord(int(row["offset"]), row["payload"]) for row in body["records"]]
     return LogBatch(records, int(body["first_kept_offset"]), int(body["next_offset"]))
--- a/samphirecleat/platform/_metadata_store.py
+++ b/samphirecleat/platform/_metadata_store.py
@@ -48,6 +48,8 @@
 # While the direct route fails, a probe tries it at this interval and with its own timeout.
 PROBE_INTERVAL_S: Final = 0.4
 PROBE_TIMEOUT_S: Final = 1.0
+# The response to a read starts with the end of the topic and its first retained offset, both as
+# 8 bytes in big-endian order.
 _READ_HEADER_BYTES: Final = 16
 
 
@@ -192,8 +194,8 @@
     async def _read_records(
         self, topic: str, from_offset: int, wait_s: float, max_bytes: int = MAX_READ_BYTES
     ) -> tuple[Sequence[bytes], int]:
-        most_kb = min(MAX_READ_BYTES, max_bytes + 1023) // 1024
-        query = f"topic={quote(topic)}&part=0&from={from_offset}&maxKb={most_kb}"
+        max_kb = min(MAX_READ_BYTES, max_bytes + 1023) // 1024
+        query = f"topic={quote(topic)}&part=0&from={from_offset}&maxKb={max_kb}"
         if wait_s > 0.0:
             query += f"&waitMs={int(wait_s * 1000)}"
         reply = await self._read_call(f"{PATH_READ}?{query}", wait_s)
--- a/samphirecleat/platform/_node_duties.py
+++ b/samphirecleat/platform/_node_duties.py
@@ -38,7 +38,7 @@
         self,
         board: Blackboard,
         settings: BootSettings,
-        parts: DutyDependencies,
+        dependencies: DutyDependencies,
         api: DutyApi,
         view: PlatformView,
         rng: random.Random,
@@ -46,24 +46,26 @@
         """Set up the duties; nothing is claimed before :meth:`run`."""
         self._reports_usage = settings.reports_usage
         if settings.orders_targets:
-            parts = parts._replace(servers=TargetProvisioning(api, view.registrations_current))
-        self._services = ServiceDuties(parts)
+            dependencies = dependencies._replace(
+                servers=TargetProvisioning(api, view.registrations_current)
+            )
+        self._services = ServiceDuties(dependencies)
         self._usage = UsageDuty(
             UsageDependencies(
                 view.log,
                 api,
                 view.clock,
                 ReportSchedule(settings.report_window_s, settings.report_due_s),
-                parts.observer,
+                dependencies.observer,
                 rng,
                 view.store_reachable,
             )
         )
         self._keeper = DutyKeeper(
             board,
-            parts.step_log,
+            dependencies.step_log,
             self._subjects,
-            parts.observer,
+            dependencies.observer,
             rng,
             lease_s=settings.lease_s,
             fenced=settings.fences_checked,
--- a/samphirecleat/platform/_platform_node.py
+++ b/samphirecleat/platform/_platform_node.py
@@ -1,4 +1,4 @@
-"""The composition root of a node on the users' platform."""
+"""The composition root of a platform node."""
 
 import asyncio
 import random
@@ -278,7 +278,7 @@
             self._authenticator,
             self.observer,
         )
-        parts = DutyDependencies(
+        dependencies = DutyDependencies(
             self.step_log,
             self.routes,
             self.targets,
@@ -296,7 +296,9 @@
         view = PlatformView(
             self._store, self._clock, self._registrations_are_current, lambda: self._store.reachable
         )
-        self._duties = NodeDuties(self.board, self.settings, parts, self._api, view, self._rng)
+        self._duties = NodeDuties(
+            self.board, self.settings, dependencies, self._api, view, self._rng
+        )
 
     def _reading_pause_s(self) -> float:
         return reading_pause_s(len(self.board.members), runs_work=self._duties.runs_any_service())
--- a/samphirecleat/platform/_store_routes.py
+++ b/samphirecleat/platform/_store_routes.py
@@ -1,6 +1,6 @@
 """Choice of the route of a call to the store: direct, or through a peer that reaches the store.
 
-Load pattern: for some seconds the store doesn't respond to some of the nodes, or a network
+Failure scenario: for some seconds the store doesn't respond to some of the nodes, or a network
 partition separates a node from it. Every call that tries the failed route first waits for its
 timeout, and so do the results of a runner. Therefore only a probe uses the direct route after a
 failure, until it succeeds again, and the peer that answered last is tried first.
--- a/samphirecleat/platform/_watches.py
+++ b/samphirecleat/platform/_watches.py
@@ -23,9 +23,9 @@
         self._logger = observer.log("config")
         self._newest_versions: dict[str, int] = {}
 
-    def apply(self, entries: Sequence[LogEntry], newest: bool) -> None:
+    def apply(self, entries: Sequence[LogEntry], is_snapshot: bool) -> None:
         """Apply entries of the operator's topic; deleted keys are ignored."""
-        del newest
+        del is_snapshot
         for entry in entries:
             if not entry.value:
                 continue
@@ -81,10 +81,10 @@
         self._table = table
         self._logger = observer.log("targets")
 
-    def apply(self, entries: Sequence[LogEntry], newest: bool) -> None:
-        """Apply entries of the targets' topic."""
+    def apply(self, entries: Sequence[LogEntry], is_snapshot: bool) -> None:
+        """Apply entries of the targets' topic; a snapshot replaces all registrations."""
         decoded: dict[str, Target | None] = {entry.key: self._decode(entry) for entry in entries}
-        if newest:
+        if is_snapshot:
             self._registry.replace({name: t for name, t in decoded.items() if t is not None})
         else:
             for name, target in decoded.items():
@@ -93,10 +93,10 @@
 
     def refresh(self) -> None:
         """Update the table from the current state of the registry."""
-        present = self._registry.usable_targets()
-        if present != self._table.targets:
-            self._log_changes(present)
-            self._table.replace(present)
+        usable = self._registry.usable_targets()
+        if usable != self._table.targets:
+            self._log_changes(usable)
+            self._table.replace(usable)
 
     def _apply_one(self, name: str, target: Target | None) -> None:
         if target is None:
@@ -113,20 +113,22 @@
             self._logger.warning("offset=%d malformed target registration: %s", entry.offset, error)
             return None
 
-    def _log_changes(self, now: Mapping[str, Target]) -> None:
+    def _log_changes(self, usable: Mapping[str, Target]) -> None:
         """Log all changes in one line, because every node sees the changes of every target."""
         before = self._table.targets
-        added = [f"{name}@{target.address}" for name, target in now.items() if name not in before]
-        removed = before.keys() - now.keys()
+        added = [
+            f"{name}@{target.address}" for name, target in usable.items() if name not in before
+        ]
+        removed = before.keys() - usable.keys()
         draining = [
             name
-            for name, target in now.items()
+            for name, target in usable.items()
             if target.draining and not (name in before and before[name].draining)
         ]
         if added or removed or draining:
             self._logger.info(
                 "targets=%d came=%s gone=%s draining=%s",
-                len(now),
+                len(usable),
                 ",".join(added),
                 ",".join(sorted(removed)),
                 ",".join(draining),
