--- a/tests/entry/test_bad_input.py
+++ b/tests/entry/test_bad_input.py
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.parametrize("with_key", [True, False])
-def test_caller_that_disconnects_during_its_generation(with_key: bool) -> None:
+def test_run_of_a_disconnected_caller_continues_only_with_a_key(with_key: bool) -> None:
     """With a key the run continues, since the caller may retry and ask for the answer.
 
     Without a key nobody can ask for it, so the engine is told to cancel the run.
