--- a/samphirecleat/__init__.py
+++ b/samphirecleat/__init__.py
@@ -11,7 +11,8 @@
 
 __all__ = ["ErrorKind", "Node", "Ran", "RequestError", "RetryAt", "Settings", "read_settings"]
 
-# The daemon on the users' platform has a composition root of its own and needs none of these.
+# Loaded lazily because the daemon of samphirecleat.platform has its own composition root and
+# uses none of these names.
 __getattr__ = lazy_exports(
     __name__, {"Node": "node", "Settings": "settings", "read_settings": "settings"}
 )
--- a/samphirecleat/__main__.py
+++ b/samphirecleat/__main__.py
@@ -1,4 +1,4 @@
-"""Lets ``python -m samphirecleat`` run the command line."""
+"""Entry point of ``python -m samphirecleat``."""
 
 from .cli import main
 
--- a/samphirecleat/_boot_clock.py
+++ b/samphirecleat/_boot_clock.py
@@ -1,13 +1,13 @@
-"""A clock that goes on while the host stands still.
+"""A monotonic clock that includes the time during which the host was suspended.
 
-The loop's clock does not count time in which a host was suspended. What was confirmed just
-before would look fresh on waking, although others may have acted in between; so the age of
-what others may change is taken on this clock.
+The event loop's clock stops while the host is suspended. After a resume, state that was
+confirmed just before the suspension would appear fresh, although other nodes may have changed
+it since. The age of state that other nodes can change is therefore measured with this clock.
 """
 
 import time
 
 
 def boot_time_s() -> float:
-    """Return seconds since the host started, those of a suspension included."""
+    """Return the seconds since the host booted, including time in suspension."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/samphirecleat/_commands.py
+++ b/samphirecleat/_commands.py
@@ -1,4 +1,4 @@
-"""The operators' commands ``publish`` and ``report``; the command line calls them."""
+"""Implements the commands ``publish`` and ``report`` of the command line."""
 
 import getpass
 import json
@@ -22,10 +22,10 @@
 async def publish(
     text: str, log_url: str, operator: str, base: int | None, resume: str, timeout_s: float
 ) -> int:
-    """Publish a text, print what became of it, and return the exit code.
+    """Publish a service text, print the outcome, and return the exit code.
 
-    0: accepted. 1: rejected, or nothing was appended. 2: the text has faults.
-    3: unknown; ask again with ``--resume``.
+    0: accepted. 1: rejected, or nothing was appended. 2: the text is invalid.
+    3: unknown; run the command again with ``--resume``.
     """
     async with aiohttp.ClientSession() as session:
         publisher = Publisher(HttpLog(session, log_url.rstrip("/")), timeout_s=timeout_s)
@@ -42,7 +42,7 @@
 
 
 async def report(node: str, *, as_json: bool) -> int:
-    """Print the report of the whole fleet, asked of one node; return the exit code."""
+    """Print the fleet report, fetched from ``node``, and return the exit code."""
     url = node if node.startswith("http") else f"http://{node}"
     timeout = aiohttp.ClientTimeout(total=REPORT_TIMEOUT_S)
     try:
@@ -63,4 +63,4 @@
     name = result.outcome.name.lower()
     print(f"{name}: {result.detail} (id {result.publication_id})")
     if result.outcome is PublishOutcome.UNKNOWN:
-        print(f"Ask again with --resume {result.publication_id}; publish nothing until then.")
+        print(f"Check the outcome with --resume {result.publication_id} before publishing again.")
--- a/samphirecleat/_lazy_exports.py
+++ b/samphirecleat/_lazy_exports.py
@@ -1,8 +1,8 @@
-"""Public names of a package that are loaded when they are first asked for.
+"""Lazy loading of the public names of a package.
 
-A daemon that uses two names of a package would otherwise load all that the other names stand
-for. In a fleet of small hosts that is a third of a node's memory, and most of the processor
-time of its start, which is what a loss of all power has to wait for.
+Without it, a daemon that uses two names of a package would import the dependencies of all other
+names. On small hosts, these imports take a third of a node's memory and most of the CPU time of
+its start, which delays the recovery of the fleet after a power failure.
 """
 
 import importlib
@@ -10,9 +10,10 @@
 
 
 def lazy_exports(package: str, modules: Mapping[str, str]) -> Callable[[str], object]:
-    """Return the ``__getattr__`` of a package whose names stand in its ``modules``.
+    """Return a module-level ``__getattr__`` for ``package``.
 
-    The function raises :class:`AttributeError` for a name that is not among them.
+    ``modules`` maps each lazily loaded name to the submodule that defines it. The function
+    raises :class:`AttributeError` for any other name.
     """
 
     def load(name: str) -> object:
--- a/samphirecleat/_report_tables.py
+++ b/samphirecleat/_report_tables.py
@@ -1,4 +1,4 @@
-"""Makes the fleet report readable: one table for each thing that it tells."""
+"""Formats the fleet report as text tables."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -11,7 +11,7 @@
 
 
 def report_tables(body: Mapping[str, Any]) -> str:
-    """Return the body of ``GET /v1/report`` as tables; empty ones are left out."""
+    """Return the body of ``GET /v1/report`` as tables, without the empty ones."""
     nodes: NodeReports = body["nodes"]
     answered = {name: report for name, report in nodes.items() if "unavailable" not in report}
     tables = [
@@ -24,8 +24,8 @@
     return "\n\n".join(table for table in tables if table)
 
 
-def _table(first: str, others: str, rows: Sequence[Row]) -> str:
-    return tabulate(rows, headers=[first, *others.split()]) if rows else ""
+def _table(first_header: str, other_headers: str, rows: Sequence[Row]) -> str:
+    return tabulate(rows, headers=[first_header, *other_headers.split()]) if rows else ""
 
 
 def _node_rows(nodes: NodeReports) -> Sequence[Row]:
@@ -40,13 +40,13 @@
 
 
 def _target_rows(nodes: NodeReports) -> Sequence[Row]:
-    """Show each target as the node tells that has the newest word of it."""
-    newest: dict[str, Mapping[str, Any]] = {}
+    """Return one row per target, preferring reports of nodes that can reach it."""
+    target_reports: dict[str, Mapping[str, Any]] = {}
     for report in nodes.values():
         for address, target in report["targets"].items():
-            known = newest.get(address)
+            known = target_reports.get(address)
             if known is None or (target["reachable"] and not known["reachable"]):
-                newest[address] = target
+                target_reports[address] = target
     rows = [
         (
             address,
@@ -57,7 +57,7 @@
             target["running"],
             target["waiting"],
         )
-        for address, target in newest.items()
+        for address, target in target_reports.items()
     ]
     return sorted(rows, key=lambda row: (str(row[1]), str(row[0])))
 
@@ -89,18 +89,23 @@
 
 def _trainer_rows(nodes: NodeReports) -> Sequence[Row]:
     return [
-        (trainer, name, told.get("idle_ratio", ""), _counts(told.get("staleness_versions", {})))
+        (
+            trainer,
+            name,
+            stats.get("idle_ratio", ""),
+            _format_counts(stats.get("staleness_versions", {})),
+        )
         for name, report in sorted(nodes.items())
-        for trainer, told in sorted(report.get("trainers", {}).items())
+        for trainer, stats in sorted(report.get("trainers", {}).items())
     ]
 
 
-def _counts(counts: Mapping[str, int]) -> str:
+def _format_counts(counts: Mapping[str, int]) -> str:
     return ", ".join(f"{key}: {count}" for key, count in counts.items())
 
 
 def _refusal_rows(nodes: NodeReports) -> Sequence[Row]:
-    total: Counter[str] = Counter()
+    totals: Counter[str] = Counter()
     for report in nodes.values():
-        total.update(report["refusals"])
-    return sorted(total.items())
+        totals.update(report["refusals"])
+    return sorted(totals.items())
--- a/samphirecleat/_waiting.py
+++ b/samphirecleat/_waiting.py
@@ -1,8 +1,8 @@
-"""Waiting for an event for a bounded time.
+"""Waits for an event with a timeout.
 
-Stands apart because ``asyncio.wait_for`` must not be used for it: up to Python
-3.11 it drops a cancellation that comes in the moment in which the event is set.
-The task then never ends, and neither does the node's stop, which waits for it.
+``asyncio.wait_for`` must not be used for this: up to Python 3.11 it swallows a
+cancellation that arrives in the same loop iteration in which the event is set. The task
+then never ends, and the shutdown of the node, which waits for the task, hangs.
 """
 
 import asyncio
@@ -10,7 +10,7 @@
 
 
 async def wait_for_event(event: asyncio.Event, timeout_s: float) -> bool:
-    """Return whether the event was set within ``timeout_s``."""
+    """Return whether the event was set within ``timeout_s`` seconds."""
     with suppress(TimeoutError):
         async with asyncio.timeout(timeout_s):
             await event.wait()
--- a/samphirecleat/cli.py
+++ b/samphirecleat/cli.py
@@ -1,4 +1,4 @@
-"""The command line: thin commands over the library."""
+"""The command-line interface."""
 
 import asyncio
 import sys
@@ -20,8 +20,8 @@
     """Samphirecleat, a rollout service for reinforcement learning."""
 
     def check(self, file: str) -> None:
-        """Check a service text and print every fault with its place."""
-        text = _check_file(file)
+        """Validate a service text and print every error with its line and key."""
+        text = _read_text_file(file)
         print(f"{file}: {len(text.services)} services, {len(text.trainers)} trainers, no fault")
 
     def publish(
@@ -34,23 +34,22 @@
         resume: str = "",
         timeout_s: float = 15.0,
     ) -> None:
-        """Publish a service text and say what became of it.
+        """Publish a service text and print the outcome.
 
-        BASE is the revision that the text replaces: the one in force if it is left
-        out, -2 for whatever is in force. RESUME is the id of an earlier
-        publication whose outcome stayed unknown; nothing is appended then.
-        Exit codes: 0 accepted, 1 rejected or not appended, 2 faults in the text,
-        3 unknown.
+        BASE is the revision that the text replaces. It defaults to the revision in
+        force; -2 replaces any revision. RESUME is the id of an earlier publication with
+        an unknown outcome; its outcome is looked up and nothing is appended.
+        Exit codes: 0 accepted, 1 rejected or not appended, 2 invalid text, 3 unknown.
         """
         from ._commands import publish
 
         if not resume:
-            _check_file(file)
+            _read_text_file(file)
         text = "" if resume else Path(file).read_text(encoding="utf-8")
         sys.exit(_run(publish(text, log, str(operator), base, str(resume), timeout_s)))
 
     def report(self, node: str, *, json: bool = False) -> None:
-        """Print the state of the whole fleet; NODE is any node's HTTP address."""
+        """Print the state of the whole fleet; NODE is the HTTP address of any node."""
         from ._commands import report
 
         sys.exit(_run(report(node, as_json=json)))
@@ -62,7 +61,7 @@
         run_daemon(settings)
 
     def bench(self, name: str, seed: int | None = None, json: bool = False) -> None:
-        """Run a bench by name and print policy against baselines; ``list`` names them."""
+        """Run a bench and print its policies against baselines; NAME ``list`` lists benches."""
         from .bench import BENCH_MODULES, UnknownBenchError, print_result, run_bench
 
         if name == "list":
@@ -89,7 +88,7 @@
         "publish": commands.publish,
         "report": commands.report,
     }
-    # The daemon has little memory: it must not load the trial and the stand-ins.
+    # The daemon does not import the trial and the stand-ins, to save memory.
     if sys.argv[1:2] != ["node"]:
         from .explain import explain_command
         from .standins import standin_command
@@ -99,8 +98,8 @@
     fire.Fire(by_name, name="samphirecleat")
 
 
-def _check_file(file: str) -> ServiceText:
-    """Read and check a service text; print its faults and exit when it has any."""
+def _read_text_file(file: str) -> ServiceText:
+    """Read a service text; if it is invalid, print its errors and exit."""
     try:
         return read_service_text(Path(file).read_text(encoding="utf-8"), file)
     except (DocumentError, OSError, UnicodeError) as error:
--- a/samphirecleat/daemon.py
+++ b/samphirecleat/daemon.py
@@ -1,4 +1,4 @@
-"""The thin daemon around a node: settings in, signals handled, drained on SIGTERM."""
+"""The daemon process of a node: reads the settings and drains the node on SIGTERM."""
 
 import logging
 import sys
@@ -17,23 +17,23 @@
 
 
 class NodeService(aiomisc.Service):
-    """Runs one node under aiomisc, which handles the signals."""
+    """Runs one node under aiomisc, which handles signals."""
 
     node: Node
 
     async def start(self) -> None:
-        """Start the node."""
+        """Start the node; returns once it listens."""
         await self.node.start()
 
     async def stop(self, exception: Exception | None = None) -> Any:
-        """Drain the node, so that nothing in flight is cut off, and stop it."""
+        """Drain the node, so that requests in flight complete, and stop it."""
         del exception
         await self.node.drain()
         await self.node.stop()
 
 
 def run_daemon(settings_path: str) -> None:
-    """Run a node until SIGTERM or SIGINT; exit 2 at once for bad settings."""
+    """Run a node until SIGTERM or SIGINT; exit with code 2 if the settings are invalid."""
     try:
         settings = read_settings(Path(settings_path).read_text(), settings_path)
     except (DocumentError, OSError, UnicodeError) as error:
--- a/samphirecleat/errors.py
+++ b/samphirecleat/errors.py
@@ -1,10 +1,9 @@
-"""The closed list of error kinds and the table from a kind to its answer.
+"""The closed list of error kinds and the response to each kind.
 
-Every refusal or failure that a caller, a trainer or an operator can meet is an
-:class:`ErrorKind`. :data:`ANSWERS` says, for each, the HTTP status, whether the
-request ran, and whether and where the sender may try again. A kind that is not
-in the table cannot be answered, and :mod:`tests.test_errors` checks that none is
-missing.
+Every error that callers, trainers or operators can receive is an :class:`ErrorKind`.
+:data:`ANSWERS` maps each kind to its HTTP status, to whether the request ran, and to
+whether and where the client may retry. :mod:`tests.test_errors` checks that no kind is
+missing from it.
 """
 
 from collections.abc import Mapping
@@ -13,7 +12,7 @@
 
 
 class ErrorKind(Enum):
-    """What went wrong, named for the sender of the request."""
+    """The kind of an error, from the perspective of the client."""
 
     MALFORMED = "malformed"
     BODY_TOO_LARGE = "body_too_large"
@@ -43,7 +42,7 @@
 
 
 class Ran(Enum):
-    """Whether the request reached a target and started there."""
+    """Whether the request reached a target and started to run."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -51,7 +50,7 @@
 
 
 class RetryAt(Enum):
-    """Whether and where the sender may send the same request again."""
+    """Whether and where the client may retry the same request."""
 
     NEVER = "never"
     SAME_NODE = "same_node"
@@ -60,7 +59,7 @@
 
 
 class Answer(NamedTuple):
-    """How one error kind is answered."""
+    """The response to an error kind."""
 
     status: int
     ran: Ran
@@ -89,7 +88,7 @@
     ErrorKind.TARGET_FAILED: Answer(502, Ran.UNKNOWN, RetryAt.NEVER),
     ErrorKind.ANSWER_DISCARDED: Answer(410, Ran.YES, RetryAt.NEVER),
     ErrorKind.OUTCOME_UNKNOWN: Answer(502, Ran.UNKNOWN, RetryAt.NEVER),
-    # The same request ran before under another id, so nothing is promised.
+    # The same request may have run before under another id, so NO cannot be claimed.
     ErrorKind.CRASHES_TARGETS: Answer(502, Ran.UNKNOWN, RetryAt.NEVER),
     ErrorKind.CRASH_SUSPECTED: Answer(503, Ran.NO, RetryAt.LATER),
     ErrorKind.UNAUTHENTICATED: Answer(401, Ran.NO, RetryAt.NEVER),
@@ -98,7 +97,7 @@
 
 
 class ErrorBody(TypedDict):
-    """The JSON body of every error answer."""
+    """The JSON body of an error response."""
 
     kind: str
     ran: str
@@ -108,11 +107,11 @@
 
 
 class RequestError(Exception):
-    """A request that ends without its answer.
+    """A request failed.
 
-    ``ran`` defaults to the table's value. A raiser may only weaken it from
-    :attr:`Ran.NO` to :attr:`Ran.UNKNOWN`, or strengthen it to :attr:`Ran.NO`
-    when it knows that no byte of the request left for a target.
+    ``ran`` defaults to the value in :data:`ANSWERS`. The raising code may only weaken it
+    from :attr:`Ran.NO` to :attr:`Ran.UNKNOWN`, or set it to :attr:`Ran.NO` if no byte of
+    the request was sent to a target.
     """
 
     def __init__(
@@ -123,7 +122,7 @@
         ran: Ran | None = None,
         retry_after_s: float = 0.0,
     ) -> None:
-        """Describe the failure for its sender; ``detail`` says what to do."""
+        """Create the error; ``detail`` tells the client what to do about it."""
         super().__init__(f"{kind.value}: {detail}")
         self.kind = kind
         self.detail = detail
@@ -132,11 +131,11 @@
 
     @property
     def status(self) -> int:
-        """The HTTP status that answers this kind."""
+        """The HTTP status of the response."""
         return ANSWERS[self.kind].status
 
     def body(self) -> ErrorBody:
-        """Return the JSON body that tells the sender of this error."""
+        """Return the JSON body of the response."""
         return {
             "kind": self.kind.value,
             "ran": self.ran.value,
@@ -147,15 +146,15 @@
 
     @classmethod
     def from_body(cls, body: ErrorBody) -> "RequestError":
-        """Rebuild the error that another node or the client received.
+        """Rebuild the error from the body of an error response.
 
-        An unknown kind, from a newer node, becomes :attr:`ErrorKind.OUTCOME_UNKNOWN`.
+        An unknown kind, as from a newer node, becomes :attr:`ErrorKind.OUTCOME_UNKNOWN`.
         """
         try:
             kind = ErrorKind(body["kind"])
             ran = Ran(body["ran"])
         except (KeyError, ValueError, TypeError):
-            return cls(ErrorKind.OUTCOME_UNKNOWN, f"the answer is not understood: {body!r}")
+            return cls(ErrorKind.OUTCOME_UNKNOWN, f"cannot parse the error response: {body!r}")
         return cls(
             kind,
             str(body.get("detail", "")),
--- a/samphirecleat/node.py
+++ b/samphirecleat/node.py
@@ -1,4 +1,4 @@
-"""The composition root: builds the parts of one node and wires them together."""
+"""The composition root: builds the components of one node and connects them."""
 
 import asyncio
 import random
@@ -28,20 +28,20 @@
 from .settings import Settings
 from .targets import TargetClient, is_listening, make_connector
 
-RESTART_AFTER_S: Final = 1.0
-CRASH_REVIEW_S: Final = 0.25
-Driver = Callable[[], Awaitable[None]]
+CONTROLLER_RESTART_DELAY_S: Final = 1.0
+CRASH_REVIEW_PERIOD_S: Final = 0.25
+Controller = Callable[[], Awaitable[None]]
 
 
 class Node:
-    """One entry host's process: start it, drain it, stop it.
+    """The node that runs on one entry host.
 
-    :meth:`start` returns once it listens; :meth:`drain` once nothing is in
-    flight and no caller's kept entry list can name it any more.
+    :meth:`start` returns once the node listens. :meth:`drain` returns once nothing is in
+    flight and every cached entry list that contains the node has expired.
     """
 
     def __init__(self, settings: Settings, policies: Policies | None = None) -> None:
-        """Build a node that does not run yet; benches pass other ``policies``."""
+        """Create a node without starting it; benches pass other ``policies``."""
         self._policies = policies if policies is not None else Policies()
         self.settings = settings
         self.observer = Observer(settings.node_id)
@@ -60,15 +60,15 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Build the parts that need a loop, listen, and start the controllers."""
-        self._build()
+        """Build the components, open the listeners and start the controllers."""
+        self._build_components()
         await self._listen()
-        for drive in self._drivers():
-            self._tasks.append(asyncio.get_running_loop().create_task(self._supervise(drive)))
-        self.observer.log("node").info("Node %s listens.", self.settings.node_id)
+        for controller in self._drivers():
+            self._tasks.append(asyncio.get_running_loop().create_task(self._supervise(controller)))
+        self.observer.log("node").info("Node %s is listening.", self.settings.node_id)
 
     async def drain(self) -> None:
-        """Leave the entry list, serve what still comes, and return when all is done."""
+        """Leave the entry list, keep serving requests, and return once all are complete."""
         timings = self.settings.timings
         drain = Drain(
             self.board,
@@ -85,7 +85,7 @@
         await drain.run()
 
     async def stop(self) -> None:
-        """Stop at once; call :meth:`drain` first to cut nothing off."""
+        """Stop immediately; call :meth:`drain` first to let requests in flight complete."""
         self.membership.announce_exit()
         self._peer_server.stop()
         for task in self._tasks:
@@ -94,9 +94,9 @@
         await self.callers.close()
         await self.step_runner.close()
         await self.dispatcher.close()
-        self._udp.close()
-        self._grpc.close()
-        await self._grpc.wait_closed()
+        self._udp_transport.close()
+        self._grpc_server.close()
+        await self._grpc_server.wait_closed()
         if self._runner is not None:
             await self._runner.cleanup()
         self.peers.close()
@@ -104,7 +104,7 @@
         await self._fresh_session.close()
 
     def own_report(self) -> Mapping[str, Any]:
-        """Return this node's part of the fleet report."""
+        """Return the entry of this node in the fleet report."""
         return build_node_report(
             self.board,
             self.observer,
@@ -114,7 +114,7 @@
             asyncio.get_running_loop().time(),
         )
 
-    def _build(self) -> None:
+    def _build_components(self) -> None:
         settings, timings, board = self.settings, self.settings.timings, self.board
         now_s = asyncio.get_running_loop().time()
         self._session = aiohttp.ClientSession(connector=make_connector(timings.progress_timeout_s))
@@ -198,7 +198,7 @@
             heartbeat_s=timings.heartbeat_s,
             suspect_after_s=timings.suspect_after_s,
             rng=self._rng,
-            piggyback_sources=[self.target_watch, self.discovery, self._crash_news],
+            piggyback_sources=[self.target_watch, self.discovery, self._crash_gossip],
         )
         self.weights = WeightCoordinator(
             board,
@@ -216,11 +216,11 @@
     def _build_crash_guard(self) -> None:
         board = self.board
         ledger = CrashLedger()
-        self._crash_news = CrashGossip(ledger, lambda: len(board.members))
+        self._crash_gossip = CrashGossip(ledger, lambda: len(board.members))
         self.crash_guard = CrashGuard(
             self.settings.node_id,
             ledger,
-            self._crash_news,
+            self._crash_gossip,
             is_listening,
             lambda start: registration_of(board, start),
             lambda start: other_usable_targets(board, start),
@@ -230,8 +230,8 @@
 
     async def _review_crashes(self) -> None:
         while True:
-            await asyncio.sleep(CRASH_REVIEW_S)
-            self.crash_guard.review([m.incarnation for m in self.board.live_members()])
+            await asyncio.sleep(CRASH_REVIEW_PERIOD_S)
+            self.crash_guard.review([member.incarnation for member in self.board.live_members()])
 
     async def _listen(self) -> None:
         settings = self.settings
@@ -257,15 +257,15 @@
             self.own_report,
             self.discovery.table.present_rows,
         )
-        self._grpc = Server([self._peer_server])
+        self._grpc_server = Server([self._peer_server])
         peer_host, peer_port = _split_address(settings.peer_address)
-        await self._grpc.start(peer_host, peer_port, reuse_address=True)
+        await self._grpc_server.start(peer_host, peer_port, reuse_address=True)
         loop = asyncio.get_running_loop()
-        self._udp, _protocol = await loop.create_datagram_endpoint(
+        self._udp_transport, _protocol = await loop.create_datagram_endpoint(
             lambda: self.membership, local_addr=(peer_host, peer_port)
         )
 
-    def _drivers(self) -> Sequence[Driver]:
+    def _drivers(self) -> Sequence[Controller]:
         return [
             self.config_reader.drive,
             self.config_reader.drive_restatement,
@@ -280,19 +280,19 @@
             self._review_crashes,
         ]
 
-    async def _supervise(self, drive: Driver) -> None:
-        """Start a controller again after an error that it did not expect.
+    async def _supervise(self, controller: Controller) -> None:
+        """Run a controller and restart it after an unexpected error.
 
-        Without this, one malformed record would end a controller for good while
-        the node went on answering, and nobody would notice until much later.
+        Without the restart, one malformed record would stop a controller permanently
+        while the node keeps responding, and the failure could go unnoticed.
         """
         while True:
             try:
-                await drive()
+                await controller()
             except Exception:
-                self.observer.log("node").exception("A controller failed and starts again.")
+                self.observer.log("node").exception("A controller failed and will be restarted.")
                 self.observer.counters["controller_restarts"] += 1
-            await asyncio.sleep(RESTART_AFTER_S)
+            await asyncio.sleep(CONTROLLER_RESTART_DELAY_S)
 
     def _own_row(self) -> Member:
         identity = self.board.identity
@@ -304,7 +304,7 @@
             zone=identity.zone,
             http_address=identity.http_address,
             peer_address=identity.peer_address,
-            sequence=0,  # the gossip numbers the rows that it sends
+            sequence=0,  # set by the gossip protocol when it sends the row
             leaving=self.board.leaving,
             ready=self.board.ready,
             config_revision=self.board.config.revision,
--- a/samphirecleat/publish.py
+++ b/samphirecleat/publish.py
@@ -1,4 +1,4 @@
-"""Publishes a service text: one append, then reading until its outcome is known."""
+"""Publishes a service text: appends it once and reads the log until its outcome is known."""
 
 import asyncio
 import secrets
@@ -19,11 +19,11 @@
 
 CONFIG_STREAM: Final = "config"
 READ_WAIT_S: Final = 1.0
-RETRY_S: Final = 0.3
+RETRY_DELAY_S: Final = 0.3
 
 
 class PublishOutcome(Enum):
-    """What became of a publication; the value is the command's exit code."""
+    """The outcome of a publication; the value is the exit code of the command."""
 
     ACCEPTED = 0
     REJECTED = 1
@@ -31,7 +31,7 @@
 
 
 class PublishResult(NamedTuple):
-    """The outcome, its publication's id, and the revision if it was accepted."""
+    """The result of a publication; ``revision`` is -1 unless it was accepted."""
 
     outcome: PublishOutcome
     publication_id: str
@@ -39,12 +39,12 @@
     detail: str
 
 
-def judge(
+def find_result(
     state: ConfigState, records: Sequence[LogRecord], publication_id: str
 ) -> PublishResult | None:
-    """Return what the folded records say of a publication, None while they are silent.
+    """Return the result of a publication, or None if the records do not decide it yet.
 
-    Of an id that stands in the log several times, an accepted one decides.
+    If the id occurs in the log several times, an accepted occurrence takes precedence.
     """
     outcome = state.outcomes.get(publication_id)
     if outcome is not None and outcome.accepted:
@@ -54,16 +54,16 @@
         return PublishResult(PublishOutcome.REJECTED, publication_id, -1, outcome.reason)
     offsets = [record.offset for record in records if _is_publication(record, publication_id)]
     if offsets and state.certain and state.revision > offsets[0]:
-        detail = f"revision {state.revision} by {state.operator} came after it"
+        detail = f"revision {state.revision} by {state.operator} was accepted after it"
         return PublishResult(PublishOutcome.UNKNOWN, publication_id, -1, detail)
     return None
 
 
 class Publisher:
-    """Reads the configuration stream from its start, and publishes once."""
+    """Publishes one service text; reads the configuration stream from its start."""
 
     def __init__(self, log: Log, *, timeout_s: float) -> None:
-        """Spend at most about ``timeout_s`` on one publication."""
+        """Limit one publication to about ``timeout_s`` seconds."""
         self._log = log
         self._timeout_s = timeout_s
         self._patience = ReadPatience()
@@ -71,10 +71,10 @@
         self._records: list[LogRecord] = []
 
     async def publish(self, text: str, operator: str, base: int | None) -> PublishResult:
-        """Publish ``text`` in place of revision ``base``, or of the one in force.
+        """Publish ``text`` to replace revision ``base``, or by default the one in force.
 
-        :raises samphirecleat.config.DocumentError: for a text with faults; nothing
-            is appended then.
+        :raises samphirecleat.config.DocumentError: if the text is invalid; nothing is
+            appended.
         """
         read_service_text(text)
         deadline_s = asyncio.get_running_loop().time() + self._timeout_s
@@ -82,24 +82,24 @@
         if base is None:
             base = await self._find_base(deadline_s)
         if base is None:
-            detail = "the log does not show what is in force; nothing was appended (name --base)"
+            detail = "the log does not show what is in force; nothing was appended (pass --base)"
             return PublishResult(PublishOutcome.REJECTED, publication_id, -1, detail)
         publication = Publication(publication_id, base, text, operator)
         appended = await self._log.append(CONFIG_STREAM, publication_payload(publication))
         if appended.outcome is AppendOutcome.NOT_APPENDED:
-            detail = f"the log refused it; nothing was appended: {appended.detail}"
+            detail = f"the log rejected the append; nothing was appended: {appended.detail}"
             return PublishResult(PublishOutcome.REJECTED, publication_id, -1, detail)
-        # APPENDED or UNKNOWN: it may be there in both cases, and a second append
-        # could put an old text in force again later. Only reading is safe now.
+        # With both APPENDED and UNKNOWN, the record may be in the log. A second append
+        # could put this text in force again after a later one, so it is only read.
         return await self._await_outcome(publication_id, deadline_s)
 
     async def resume(self, publication_id: str) -> PublishResult:
-        """Say what became of an earlier publication; nothing is appended."""
+        """Return the result of an earlier publication; nothing is appended."""
         deadline_s = asyncio.get_running_loop().time() + self._timeout_s
         return await self._await_outcome(publication_id, deadline_s)
 
     async def _find_base(self, deadline_s: float) -> int | None:
-        """Return the revision in force at the log's end, None if that can't be told."""
+        """Return the revision in force at the end of the log, or None if it is not known."""
         while asyncio.get_running_loop().time() < deadline_s:
             batch_size = await self._read(0.0)
             if batch_size == 0:
@@ -109,24 +109,24 @@
     async def _await_outcome(self, publication_id: str, deadline_s: float) -> PublishResult:
         while asyncio.get_running_loop().time() < deadline_s:
             await self._read(READ_WAIT_S)
-            result = judge(self._state, self._records, publication_id)
+            result = find_result(self._state, self._records, publication_id)
             if result is not None:
                 return result
         found = any(_is_publication(record, publication_id) for record in self._records)
         detail = (
-            "it stands in the log, which no longer shows what was in force before it"
+            "it is in the log, which no longer shows what was in force before it"
             if found
-            else "the log has not shown it so far"
+            else "it was not found in the log so far"
         )
         return PublishResult(PublishOutcome.UNKNOWN, publication_id, -1, detail)
 
     async def _read(self, wait_s: float) -> int | None:
-        """Fold what is new; return how many records, or None when the log is silent."""
+        """Fold new records; return how many, or None if the log is unavailable."""
         from_offset = self._state.folded_to + 1
         try:
             batch = await self._patience.read(self._log, CONFIG_STREAM, from_offset, wait_s)
         except LogUnavailableError:
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
             return None
         self._state = fold_records(self._state, batch.records, batch.first_kept_offset)
         self._records.extend(batch.records)
--- a/samphirecleat/settings.py
+++ b/samphirecleat/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one node: JSON with comments, checked whole at start."""
+"""The settings of a node, read from JSON with comments and validated at startup."""
 
 import re
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 
 class Timings(NamedTuple):
-    """The periods and bounds that a node works with, in seconds."""
+    """Periods, timeouts and TTLs of a node, in seconds."""
 
     entry_ttl_s: float = 5.0
     key_epoch_s: float = 60.0
@@ -30,7 +30,7 @@
 
 
 class Bounds(NamedTuple):
-    """What a node holds at most."""
+    """Limits on the memory that a node uses."""
 
     body_bytes: int = 1_000_000
     answer_store_bytes: int = 8_000_000
@@ -39,7 +39,7 @@
 
 
 class Settings(NamedTuple):
-    """Everything that a process learns from its operator at start."""
+    """The settings that the operator passes to a node process at startup."""
 
     node_id: str
     zone: str
@@ -58,67 +58,67 @@
 
 
 def read_settings(text: str, source: str = "settings") -> Settings:
-    """Read and check a settings text.
+    """Parse and validate the settings of a node.
 
-    :raises samphirecleat._jsonc.DocumentError: with every fault, each with line,
-        key and what is allowed.
+    :raises samphirecleat._jsonc.DocumentError: if the text is invalid; lists every error
+        with its line, its key and the allowed values.
     """
     return read_document(text, source, _build)
 
 
 def _build(reader: DocumentReader) -> Settings:
     settings = Settings(
-        node_id=_take_name(reader, "node_id"),
-        zone=_take_name(reader, "zone"),
-        http_address=_take_address(reader, "http_address"),
-        peer_address=_take_address(reader, "peer_address"),
-        shared_key=_take_shared_key(reader),
-        log_url=_take_url(reader, "log_url"),
-        weight_store_url=_take_url(reader, "weight_store_url"),
-        host_list_url=_take_url(reader, "host_list_url"),
+        node_id=_read_name(reader, "node_id"),
+        zone=_read_name(reader, "zone"),
+        http_address=_read_address(reader, "http_address"),
+        peer_address=_read_address(reader, "peer_address"),
+        shared_key=_read_shared_key(reader),
+        log_url=_read_url(reader, "log_url"),
+        weight_store_url=_read_url(reader, "weight_store_url"),
+        host_list_url=_read_url(reader, "host_list_url"),
         seeds=reader.take_strings("seeds", ()),
         log_format=reader.take_string("log_format", "human", one_of=("human", "json")),
         log_level=reader.take_string("log_level", "info", one_of=("debug", "info", "warning")),
         seed=reader.take_integer("seed", 0),
-        timings=_take_timings(reader.take_object("timings")),
-        bounds=_take_bounds(reader.take_object("bounds")),
+        timings=_read_timings(reader.take_object("timings")),
+        bounds=_read_bounds(reader.take_object("bounds")),
     )
     for seed in settings.seeds:
         if not ADDRESS_PATTERN.match(seed):
-            reader.add_error(f'"{seed}" is no IP:port', "seeds")
+            reader.add_error(f'"{seed}" is not an IP:port address', "seeds")
     reader.close()
     return settings
 
 
-def _take_name(reader: DocumentReader, key: str) -> str:
+def _read_name(reader: DocumentReader, key: str) -> str:
     name = reader.take_string(key)
     if name and not re.fullmatch(r"[A-Za-z0-9_-]{1,40}", name):
-        reader.add_error("only letters, digits, _ and - are allowed, 40 at most", key)
+        reader.add_error("only letters, digits, _ and - are allowed, at most 40 characters", key)
     return name
 
 
-def _take_address(reader: DocumentReader, key: str) -> str:
+def _read_address(reader: DocumentReader, key: str) -> str:
     address = reader.take_string(key)
     if address and not ADDRESS_PATTERN.match(address):
-        reader.add_error("an IP number and a port are expected, such as 10.0.0.5:7000", key)
+        reader.add_error("expected an IP address and a port, such as 10.0.0.5:7000", key)
     return address
 
 
-def _take_url(reader: DocumentReader, key: str) -> str:
+def _read_url(reader: DocumentReader, key: str) -> str:
     url = reader.take_string(key)
     if url and not url.startswith(("http://", "https://")):
-        reader.add_error("a URL that starts with http:// or https:// is expected", key)
+        reader.add_error("expected a URL that starts with http:// or https://", key)
     return url.rstrip("/")
 
 
-def _take_shared_key(reader: DocumentReader) -> str:
+def _read_shared_key(reader: DocumentReader) -> str:
     key = reader.take_string("shared_key")
     if key and len(key) < MIN_SHARED_KEY_LENGTH:
-        reader.add_error(f"at least {MIN_SHARED_KEY_LENGTH} characters are expected", "shared_key")
+        reader.add_error(f"expected at least {MIN_SHARED_KEY_LENGTH} characters", "shared_key")
     return key
 
 
-def _take_timings(reader: DocumentReader | None) -> Timings:
+def _read_timings(reader: DocumentReader | None) -> Timings:
     if reader is None:
         return Timings()
     values = {
@@ -129,7 +129,7 @@
     return Timings(**values)
 
 
-def _take_bounds(reader: DocumentReader | None) -> Bounds:
+def _read_bounds(reader: DocumentReader | None) -> Bounds:
     if reader is None:
         return Bounds()
     values = {
